--- a/mesh/testbed/src/main.rs
+++ b/mesh/testbed/src/main.rs
@@ -10,7 +10,7 @@
 use clap::{Arg, ArgMatches, Command, value_parser};
 use sloeline_testbed::client::ask;
 use sloeline_testbed::machine::Plan;
-use sloeline_testbed::process::Program;
+use sloeline_testbed::process::{Builds, Program};
 use sloeline_testbed::soak;
 use sloeline_testbed::standin::Standin;
 use tokio::task::{JoinSet, LocalSet};
@@ -40,12 +40,18 @@
             .default_value(default)
             .help(help)
     };
+    let other = Arg::new("alternate-with")
+        .long("alternate-with")
+        .value_name("FILE")
+        .value_parser(value_parser!(PathBuf))
+        .help("The sloeline-testbed of another build: neighbouring processes begin with different builds, and each changes at every restart");
     Command::new("soak")
         .about("Real processes under kills, pauses, cuts and lost answers; exit code 1 if anything was wrong")
         .arg(number("first", "1", "The first seed"))
         .arg(number("seeds", "10", "How many seeds, one after the other"))
         .arg(number("net", "90", "The net 127.1.N, 1 to 250; two soaks at a time want two"))
         .arg(seconds.default_value("20").help("How long troubles are made, for each seed"))
+        .arg(other)
 }
 
 fn process_command() -> Command {
@@ -91,11 +97,15 @@
     let net = u8::try_from(number(matches, "net")).context("net: expected 1 to 250")?;
     let span = Duration::from_secs(number(matches, "seconds"));
     let testbed = std::env::current_exe().context("find this program's own file")?;
+    let builds = match matches.get_one::<PathBuf>("alternate-with") {
+        Some(other) => Builds::alternating(&testbed, other),
+        None => Builds::single(&testbed),
+    };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let mut wrong = 0;
     for seed in first..first.saturating_add(seeds) {
         let folder = std::env::temp_dir().join(format!("sloeline-soak-{net}-{seed}"));
-        let played = soak::play(net, seed, span, &testbed, &folder);
+        let played = soak::play(net, seed, span, &builds, &folder);
         let report = LocalSet::new().block_on(&runtime, played)?;
         println!("seed {seed}: {} wrong; {:?}", report.violations.len(), report.counts);
         report.violations.iter().for_each(|violation| println!("  {violation}"));
--- a/mesh/testbed/src/process.rs
+++ b/mesh/testbed/src/process.rs
@@ -31,11 +31,40 @@
     }
 }
 
+/// The `sloeline-testbed` files that a process is started from; each runs either program under `process`.
+#[derive(Clone, Debug)]
+pub struct Builds {
+    testbeds: Vec<PathBuf>,
+    starts: usize,
+}
+
+impl Builds {
+    /// Starts every process from one build.
+    pub fn single(testbed: &Path) -> Builds {
+        Builds { testbeds: vec![testbed.to_owned()], starts: 0 }
+    }
+
+    /// Changes the build at each start of a process, for tests of upgrades and downgrades.
+    pub fn alternating(testbed: &Path, other: &Path) -> Builds {
+        Builds { testbeds: vec![testbed.to_owned(), other.to_owned()], starts: 0 }
+    }
+
+    /// The same builds for the process with this index, so that neighbouring processes begin with different ones.
+    pub fn for_process(&self, index: usize) -> Builds {
+        Builds { testbeds: self.testbeds.clone(), starts: index }
+    }
+
+    fn next(&mut self) -> &Path {
+        let index = self.starts % self.testbeds.len();
+        self.starts += 1;
+        &self.testbeds[index]
+    }
+}
+
 /// A process, and what it takes to start it again.
 pub struct Process {
     program: Program,
-    /// `sloeline-testbed`, which runs either program under `process`.
-    testbed: PathBuf,
+    builds: Builds,
     settings: PathBuf,
     log: PathBuf,
     child: Option<Child>,
@@ -47,14 +76,14 @@
     /// Writes the settings into the folder and starts the process; its log goes there too.
     pub fn start(
         program: Program,
-        testbed: &Path,
+        builds: Builds,
         folder: &Path,
         name: &str,
         settings: &str,
     ) -> Result<Process> {
         let mut process = Process {
             program,
-            testbed: testbed.to_owned(),
+            builds,
             settings: folder.join(format!("{name}.toml")),
             log: folder.join(format!("{name}.log")),
             child: None,
@@ -77,14 +106,15 @@
             return Ok(());
         }
         let log = open_log(&self.log)?;
-        let child = Command::new(&self.testbed)
+        let testbed = self.builds.next();
+        let child = Command::new(testbed)
             .args(["process", self.program.name(), "--settings"])
             .arg(&self.settings)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log)
             .spawn()
-            .with_context(|| format!("start {}", self.testbed.display()))?;
+            .with_context(|| format!("start {}", testbed.display()))?;
         self.child = Some(child);
         self.told_to_stop = false;
         Ok(())
--- a/mesh/testbed/src/soak/fleet.rs
+++ b/mesh/testbed/src/soak/fleet.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use crate::machine::{Machine, Plan};
-use crate::process::{Process, Program};
+use crate::process::{Builds, Process, Program};
 use crate::relay::Relay;
 use crate::standin::Standin;
 
@@ -95,14 +95,15 @@
 }
 
 impl Fleet {
-    /// Starts all processes. `testbed` is this program's own file.
-    pub async fn start(net: u8, testbed: &Path, folder: &Path) -> Result<Fleet> {
+    /// Starts all processes from these builds.
+    pub async fn start(net: u8, builds: &Builds, folder: &Path) -> Result<Fleet> {
         let plan = Plan::new(net, CORES, folder.to_owned()).relayed();
         let (mut cores, mut balancers) = (Vec::new(), Vec::new());
         for core in 0..CORES {
             let settings = plan.core_settings(core, true)?;
             let name = format!("core-{core}-process");
-            let process = Process::start(Program::ControlPlane, testbed, folder, &name, &settings)?;
+            let builds = builds.for_process(usize::from(core));
+            let process = Process::start(Program::ControlPlane, builds, folder, &name, &settings)?;
             let machine = plan.core_machine(core);
             let relay = Relay::start(plan.core_mesh(core), plan.bind(machine)).await?;
             cores.push(Rc::new(node(machine, process, relay)));
@@ -110,7 +111,8 @@
         for balancer in 1..=BALANCERS {
             let settings = plan.balancer_settings(balancer, SERVICE);
             let name = format!("balancer-{balancer}-process");
-            let process = Process::start(Program::DataPlane, testbed, folder, &name, &settings)?;
+            let builds = builds.for_process(usize::from(balancer));
+            let process = Process::start(Program::DataPlane, builds, folder, &name, &settings)?;
             let relay = Relay::start(plan.balancer_mesh(balancer), plan.bind(balancer)).await?;
             balancers.push(Rc::new(node(balancer, process, relay)));
         }
--- a/mesh/testbed/src/soak/mod.rs
+++ b/mesh/testbed/src/soak/mod.rs
@@ -34,6 +34,7 @@
 use self::fleet::{BALANCERS, CORES, Fleet};
 use self::load::Load;
 use crate::client::ask;
+use crate::process::Builds;
 
 /// How long the beginning may take.
 const BEGIN_WITHIN: Duration = Duration::from_secs(15);
@@ -49,11 +50,11 @@
 }
 
 /// Plays one seed for so long, in this net of 127/8 and this folder.
-pub async fn play(net: u8, seed: u64, span: Duration, testbed: &Path, folder: &Path) -> Result<Report> {
+pub async fn play(net: u8, seed: u64, span: Duration, builds: &Builds, folder: &Path) -> Result<Report> {
     let _ = std::fs::remove_dir_all(folder);
     std::fs::create_dir_all(folder)?;
     let mut rng = Rng::with_seed(seed);
-    let fleet = Rc::new(Fleet::start(net, testbed, folder).await?);
+    let fleet = Rc::new(Fleet::start(net, builds, folder).await?);
     let account = Rc::new(RefCell::new(Account::default()));
     let begin = Instant::now();
     let beginning = Load { fleet: fleet.clone(), account: account.clone(), until: begin + BEGIN_WITHIN };
--- a/mesh/testbed/tests/links.rs
+++ b/mesh/testbed/tests/links.rs
@@ -11,7 +11,7 @@
 use mesh::{WITHIN, play, status, until};
 use sloeline_testbed::client::ask;
 use sloeline_testbed::machine::Plan;
-use sloeline_testbed::process::{Process, Program};
+use sloeline_testbed::process::{Builds, Process, Program};
 use sloeline_testbed::standin::Standin;
 use tokio::task::spawn_local;
 
@@ -77,7 +77,8 @@
         standin.book().large = LARGE_BYTES;
         let settings = plan.balancer_settings_on_link(1, "one", SLOW_LINK_MBPS);
         let testbed = Path::new(env!("CARGO_BIN_EXE_sloeline-testbed"));
-        let started = Process::start(Program::DataPlane, testbed, &folder, "balancer", &settings);
+        let started =
+            Process::start(Program::DataPlane, Builds::single(testbed), &folder, "balancer", &settings);
         let mut balancer = started.expect("a process");
         let _upstream = plan.standin(1, "one", &standin, DOWNLOADS as u32).expect("an upstream");
         let request = async |path: &str| {
--- a/mesh/testbed/tests/soak.rs
+++ b/mesh/testbed/tests/soak.rs
@@ -4,6 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
+use sloeline_testbed::process::Builds;
 use sloeline_testbed::soak;
 use tokio::task::LocalSet;
 
@@ -16,7 +17,8 @@
     for seed in 1..=4 {
         let folder = std::env::temp_dir().join(format!("sloeline-soak-test-{}-{seed}", std::process::id()));
         let testbed = Path::new(env!("CARGO_BIN_EXE_sloeline-testbed"));
-        let played = soak::play(91, seed, SPAN, testbed, &folder);
+        let builds = Builds::single(testbed);
+        let played = soak::play(91, seed, SPAN, &builds, &folder);
         let report = LocalSet::new().block_on(&runtime, played).expect("it begins");
         assert!(
             report.violations.is_empty(),
