--- a/mesh/chain-replication/src/identity.rs
+++ b/mesh/chain-replication/src/identity.rs
@@ -9,7 +9,7 @@
 pub type Peer = SocketAddr;
 
 /// The disk of a replica that was there when the system started for the first time.
-pub const FOUNDER_DISK: u64 = 0;
+pub const FOUNDER_DISK_ID: u64 = 0;
 
 /// The number of a view. Whoever proposes one takes a round above all that it knows; the proposer tells two apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -33,7 +33,7 @@
 pub struct Replica {
     /// The machine.
     pub peer: Peer,
-    /// Drawn when the disk was first written; [`FOUNDER_DISK`] at the first start of the system.
+    /// Drawn when the disk was first written; [`FOUNDER_DISK_ID`] at the first start of the system.
     pub disk: u64,
 }
 
@@ -50,7 +50,7 @@
     /// The set of the first start.
     pub fn founders(peers: &[Peer]) -> VoterSet {
         let mut replicas: Vec<Replica> =
-            peers.iter().map(|peer| Replica { peer: *peer, disk: FOUNDER_DISK }).collect();
+            peers.iter().map(|peer| Replica { peer: *peer, disk: FOUNDER_DISK_ID }).collect();
         replicas.sort_unstable();
         replicas.dedup();
         VoterSet { number: 0, replicas }
--- a/mesh/chain-replication/src/lib.rs
+++ b/mesh/chain-replication/src/lib.rs
@@ -51,7 +51,7 @@
 pub mod proposal;
 pub mod snapshot;
 
-pub use identity::{Entry, FOUNDER_DISK, Peer, Position, Replica, View, ViewNumber, VoterSet};
+pub use identity::{Entry, FOUNDER_DISK_ID, Peer, Position, Replica, View, ViewNumber, VoterSet};
 pub use message::{Heartbeat, Message};
 pub use node::{DurableState, Node, Output, Settings, Write};
 pub use snapshot::{Digest, Rows};
@@ -71,7 +71,7 @@
 }
 
 /// The state that the chain keeps. The same updates with the same stamps make the same state everywhere.
-pub trait Tables {
+pub trait StateMachine {
     /// Applies an update. Stamps are milliseconds that never go back.
     fn apply(&mut self, stamp: u64, update: &Bytes) -> Applied;
     /// Takes these rows in place of all others.
--- a/mesh/chain-replication/src/message.rs
+++ b/mesh/chain-replication/src/message.rs
@@ -46,7 +46,8 @@
     /// Up to here everything is kept by all of the chain, as far as the sender knows.
     pub committed: u64,
     /// The sender holds a lease: it has heard a majority lately.
-    pub in_contact: bool,
+    #[serde(rename = "in_contact")]
+    pub holds_lease: bool,
     /// The whole view, for receivers that have another one.
     pub details: Option<View>,
 }
@@ -62,7 +63,7 @@
 
 /// What a replica that lacks something is given.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Supply {
+pub enum FetchPayload {
     /// The updates after its own position, as many as fit one message.
     Entries {
         /// In order.
@@ -71,7 +72,8 @@
         more: bool,
     },
     /// A piece of a snapshot.
-    Piece {
+    #[serde(rename = "Piece")]
+    SnapshotChunk {
         /// Which snapshot.
         id: SnapshotId,
         /// Rows in the order of their keys.
@@ -80,7 +82,8 @@
         last: bool,
     },
     /// Nothing now: ask again.
-    Wait,
+    #[serde(rename = "Wait")]
+    RetryLater,
 }
 
 /// A message from one core machine to another.
@@ -142,7 +145,8 @@
         cursor: Option<SnapshotCursor>,
     },
     /// The answer to that.
-    Supplied {
+    #[serde(rename = "Supplied")]
+    FetchReply {
         /// The view in which the sender works, or that it has promised.
         view: ViewNumber,
         /// The view that was to be entered.
@@ -150,7 +154,8 @@
         /// The position that was asked with.
         position: Position,
         /// What was lacking.
-        supply: Supply,
+        #[serde(rename = "supply")]
+        payload: FetchPayload,
     },
     /// Updates, from each replica of the chain to the next.
     Updates {
--- a/mesh/chain-replication/src/node/catch_up.rs
+++ b/mesh/chain-replication/src/node/catch_up.rs
@@ -3,9 +3,9 @@
 use bytes::Bytes;
 
 use super::Node;
-use crate::Tables;
+use crate::StateMachine;
 use crate::identity::{Peer, Position, ViewNumber};
-use crate::message::{Heartbeat, Message, SnapshotCursor, Supply};
+use crate::message::{FetchPayload, Heartbeat, Message, SnapshotCursor};
 use crate::snapshot::{Assembled, Assembly, Piece, Rows, SnapshotId};
 
 /// How often a replica outside of the chain asks for what is new, in milliseconds.
@@ -26,10 +26,10 @@
     complete_at: Option<u64>,
 }
 
-impl<T: Tables> Node<T> {
+impl<T: StateMachine> Node<T> {
     /// Outside of the chain, but lacking next to nothing.
     pub(super) fn is_caught_up(&self) -> bool {
-        let lately = |at: u64| self.now.saturating_sub(at) <= self.settings.silence;
+        let lately = |at: u64| self.now.saturating_sub(at) <= self.settings.silence_timeout_ms;
         !self.active && self.catch_up.complete_at.is_some_and(lately)
     }
 
@@ -51,7 +51,7 @@
         if self.active || self.entering.is_some() || !self.healthy || self.leaving {
             return;
         }
-        let pause = if self.catch_up.waiting { self.settings.retry } else { FOLLOW };
+        let pause = if self.catch_up.waiting { self.settings.retry_interval_ms } else { FOLLOW };
         if self.catch_up.asked_at.is_some_and(|at| self.now.saturating_sub(at) < pause) {
             return;
         }
@@ -93,7 +93,7 @@
         position: Position,
         cursor: Option<SnapshotCursor>,
     ) {
-        let (view, supply) = match entering {
+        let (view, payload) = match entering {
             // Promised to that number, nothing of an older view can come in any more. A snapshot may go further than the
             // beginning; whoever takes it begins there.
             Some(number) if self.durable.promised == number => {
@@ -105,7 +105,7 @@
                 (view, self.supply(position, cursor, self.committed, self.committed))
             }
         };
-        self.send(from, Message::Supplied { view, entering, position, supply });
+        self.send(from, Message::FetchReply { view, entering, position, payload });
     }
 
     /// What this machine knows as committed holds all that was acknowledged in older views.
@@ -114,22 +114,28 @@
     }
 
     /// Updates up to `last`, or a snapshot of what goes no further than `most`.
-    fn supply(&mut self, position: Position, cursor: Option<SnapshotCursor>, last: u64, most: u64) -> Supply {
+    fn supply(
+        &mut self,
+        position: Position,
+        cursor: Option<SnapshotCursor>,
+        last: u64,
+        most: u64,
+    ) -> FetchPayload {
         if let Some(cursor) = cursor
             && let Some(piece) = self.snapshots.resume(self.now, &cursor.id, &cursor.after)
         {
             return supply_piece(piece, most);
         }
         if position == self.durable.position {
-            return Supply::Entries { entries: Vec::new(), more: false };
+            return FetchPayload::Entries { entries: Vec::new(), more: false };
         }
         let known = self.log.contains(position);
         if known && position.sequence >= last {
-            return Supply::Entries { entries: Vec::new(), more: false };
+            return FetchPayload::Entries { entries: Vec::new(), more: false };
         }
         if let Some(entries) = self.log.after(position.sequence, last).filter(|_| known) {
             let more = entries.last().is_some_and(|entry| entry.position.sequence < last);
-            return Supply::Entries { entries, more };
+            return FetchPayload::Entries { entries, more };
         }
         let (stamp, digest) = (self.durable.stamp, self.rows.digest());
         let id = SnapshotId { position: self.durable.position, stamp, digest };
@@ -144,7 +150,7 @@
         view: ViewNumber,
         entering: Option<ViewNumber>,
         position: Position,
-        supply: Supply,
+        payload: FetchPayload,
     ) {
         let expected = match &self.entering {
             Some(current) => entering == Some(current.view.number) && current.source == from,
@@ -158,10 +164,10 @@
             return;
         }
         self.catch_up.waiting = false;
-        let more = match supply {
-            Supply::Entries { entries, more } => self.take_entries(entries, more),
-            Supply::Piece { id, rows, last } => self.take_piece(id, rows, last),
-            Supply::Wait => false,
+        let more = match payload {
+            FetchPayload::Entries { entries, more } => self.take_entries(entries, more),
+            FetchPayload::SnapshotChunk { id, rows, last } => self.take_piece(id, rows, last),
+            FetchPayload::RetryLater => false,
         };
         if more {
             self.ask_for_rest(from, entering);
@@ -200,7 +206,7 @@
         if let Some(entering) = &mut self.entering {
             entering.base = id.position;
         }
-        self.tables.load(&rows);
+        self.state_machine.load(&rows);
         self.changed_rows = rows.iter().map(|(key, value)| (key.clone(), Some(value.clone()))).collect();
         self.replace_rows = true;
         self.rows = rows;
@@ -214,9 +220,9 @@
 }
 
 /// The last piece goes out only once all that the snapshot holds may be handed out.
-fn supply_piece(piece: Piece, most: u64) -> Supply {
+fn supply_piece(piece: Piece, most: u64) -> FetchPayload {
     match piece.last && piece.id.position.sequence > most {
-        true => Supply::Wait,
-        false => Supply::Piece { id: piece.id, rows: piece.rows, last: piece.last },
+        true => FetchPayload::RetryLater,
+        false => FetchPayload::SnapshotChunk { id: piece.id, rows: piece.rows, last: piece.last },
     }
 }
--- a/mesh/chain-replication/src/node/mod.rs
+++ b/mesh/chain-replication/src/node/mod.rs
@@ -16,7 +16,7 @@
 use crate::peers::Peers;
 use crate::proposal::Proposal;
 use crate::snapshot::{Digest, OpenSnapshots, Rows};
-use crate::{Row, Tables};
+use crate::{Row, StateMachine};
 use catch_up::CatchUp;
 use view_change::Entering;
 
@@ -34,15 +34,15 @@
     /// Machines that may be of the core; the first to be asked.
     pub seeds: Vec<Peer>,
     /// Least number of copies of what was acknowledged, where there are as many voters.
-    pub copies: usize,
+    pub min_copies: usize,
     /// Up to how many voters the set grows.
     pub target_voters: usize,
     /// Milliseconds between two heartbeats.
-    pub heartbeat: u64,
+    pub heartbeat_interval_ms: u64,
     /// Milliseconds without a word after which a machine counts as lost.
-    pub silence: u64,
+    pub silence_timeout_ms: u64,
     /// Milliseconds after which what was not answered is sent again.
-    pub retry: u64,
+    pub retry_interval_ms: u64,
 }
 
 /// What a machine must not forget.
@@ -68,10 +68,10 @@
     /// What a disk holds at the first start of the system.
     pub fn founder(voters: VoterSet) -> DurableState {
         DurableState {
-            disk: crate::FOUNDER_DISK,
+            disk: crate::FOUNDER_DISK_ID,
             view: Some(View::first(voters)),
             established: true,
-            ..DurableState::learner(crate::FOUNDER_DISK)
+            ..DurableState::learner(crate::FOUNDER_DISK_ID)
         }
     }
 
@@ -108,14 +108,14 @@
 /// What is to be written, in one piece and in order.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Write {
-    /// Told back by [`Node::written`] when this and all before it is synced.
+    /// Told back by [`Node::write_synced`] when this and all before it is synced.
     pub token: u64,
     /// Replaces the durable state.
     pub durable: DurableState,
     /// Rows that change.
     pub rows: Vec<Row>,
     /// All other rows go.
-    pub replace: bool,
+    pub replace_all: bool,
 }
 
 /// What a machine wants done, in this order.
@@ -159,7 +159,7 @@
 pub struct Node<T> {
     settings: Settings,
     durable: DurableState,
-    tables: T,
+    state_machine: T,
     rows: Rows,
     peers: Peers,
     leases: Leases,
@@ -213,11 +213,17 @@
     stamped: (u64, u64),
 }
 
-impl<T: Tables> Node<T> {
+impl<T: StateMachine> Node<T> {
     /// A machine as it starts, with what its disk holds.
-    pub fn new(settings: Settings, durable: DurableState, rows: Rows, mut tables: T, now: u64) -> Node<T> {
-        tables.load(&rows);
-        let mut peers = Peers::new(settings.me, settings.silence);
+    pub fn new(
+        settings: Settings,
+        durable: DurableState,
+        rows: Rows,
+        mut state_machine: T,
+        now: u64,
+    ) -> Node<T> {
+        state_machine.load(&rows);
+        let mut peers = Peers::new(settings.me, settings.silence_timeout_ms);
         peers.introduce(&settings.seeds);
         let leases =
             Leases::after_start(now, durable.view.as_ref().is_some_and(|v| v.number != ViewNumber::ZERO));
@@ -227,7 +233,7 @@
             log: RecentLog::new(durable.position),
             settings,
             durable,
-            tables,
+            state_machine,
             rows,
             peers,
             leases,
@@ -267,8 +273,8 @@
     }
 
     /// The state, as far as this machine has it.
-    pub fn tables(&self) -> &T {
-        &self.tables
+    pub fn state_machine(&self) -> &T {
+        &self.state_machine
     }
 
     /// The rows of the state.
@@ -322,24 +328,25 @@
     }
 
     /// This machine has heard a quorum lately: there is no newer view without it.
-    pub fn in_contact(&self, now: u64) -> bool {
+    pub fn holds_lease(&self, now: u64) -> bool {
         let me = self.replica();
         let view = self.durable.view.as_ref().filter(|_| self.active && !self.leaving);
         view.is_some_and(|view| self.leases.holds(now, &me, view, self.durable.established))
     }
 
     /// Another machine that is in contact with a quorum, where one is heard.
-    pub fn peer_in_contact(&self, now: u64) -> Option<Peer> {
+    pub fn peer_with_lease(&self, now: u64) -> Option<Peer> {
         // Two heartbeats may be late, not more: a caller is sent there.
-        let lately =
-            |h: &Heartbeat| self.peers.silent_for(now, h.replica.peer) <= 3 * self.settings.heartbeat;
-        let good = |h: &&Heartbeat| h.in_contact && h.healthy && !h.leaving && lately(h);
+        let lately = |h: &Heartbeat| {
+            self.peers.silent_for(now, h.replica.peer) <= 3 * self.settings.heartbeat_interval_ms
+        };
+        let good = |h: &&Heartbeat| h.holds_lease && h.healthy && !h.leaving && lately(h);
         let newest = self.peers.all(now).filter(good).max_by_key(|h| (h.view, h.replica.peer));
         newest.map(|h| h.replica.peer)
     }
 
     /// This machine has a place in the newest view that it knows.
-    pub fn is_needed(&self) -> bool {
+    pub fn is_in_newest_chain(&self) -> bool {
         let me = self.replica();
         self.known_view.as_ref().is_some_and(|view| view.chain.contains(&me))
     }
@@ -414,7 +421,7 @@
     }
 
     /// What is to be done; what was gathered since goes out together.
-    pub fn outputs(&mut self) -> Vec<Output> {
+    pub fn take_outputs(&mut self) -> Vec<Output> {
         if !self.outgoing.is_empty() {
             let entries = std::mem::take(&mut self.outgoing);
             self.pass_on(entries);
@@ -426,7 +433,7 @@
                 token: self.token,
                 durable: self.durable.clone(),
                 rows: std::mem::take(&mut self.changed_rows),
-                replace: std::mem::take(&mut self.replace_rows),
+                replace_all: std::mem::take(&mut self.replace_rows),
             };
             self.dirty = false;
             self.unsynced.push_back((self.token, std::mem::take(&mut self.after_sync)));
@@ -436,7 +443,7 @@
     }
 
     /// Everything up to this write is on disk.
-    pub fn written(&mut self, now: u64, token: u64) {
+    pub fn write_synced(&mut self, now: u64, token: u64) {
         self.now = now;
         while self.unsynced.front().is_some_and(|(unsynced, _)| *unsynced <= token) {
             let Some((_, after_sync)) = self.unsynced.pop_front() else { break };
@@ -479,8 +486,8 @@
             Message::Fetch { entering, through, position, cursor } => {
                 self.fetch(from, entering, through, position, cursor);
             }
-            Message::Supplied { view, entering, position, supply } => {
-                self.supplied(from, view, entering, position, supply)
+            Message::FetchReply { view, entering, position, payload } => {
+                self.supplied(from, view, entering, position, payload)
             }
             Message::Updates { view, entries, synced } => self.updates(from, view, entries, synced),
             Message::Behind { view, sequence } => {
@@ -541,7 +548,7 @@
     pub fn tick(&mut self, now: u64) {
         self.now = now;
         if now >= self.heartbeat_at {
-            self.heartbeat_at = now + self.settings.heartbeat;
+            self.heartbeat_at = now + self.settings.heartbeat_interval_ms;
             self.send_heartbeats();
             self.peers.forget_strangers(now, self.known_view.as_ref(), FORGET_STRANGERS);
             self.leases.retain(&self.peers.addresses());
@@ -585,7 +592,7 @@
             position: self.durable.position,
             caught_up: self.is_caught_up(),
             committed: self.committed,
-            in_contact: self.in_contact(self.now),
+            holds_lease: self.holds_lease(self.now),
             details: None,
         };
         for to in self.peers.addresses() {
--- a/mesh/chain-replication/src/node/replication.rs
+++ b/mesh/chain-replication/src/node/replication.rs
@@ -5,13 +5,13 @@
 use super::{AfterSync, Node, Output, Submitted};
 use crate::identity::{Entry, Peer, Position, ViewNumber};
 use crate::message::Message;
-use crate::{Applied, Tables};
+use crate::{Applied, StateMachine};
 
 /// How often the time is doubled after which an update is submitted again.
 const MOST_DOUBLINGS: u32 = 3;
 
-impl<T: Tables> Node<T> {
-    /// Submits an update under a number of the caller's. It is sent again until [`forget`](Node::forget) or its result.
+impl<T: StateMachine> Node<T> {
+    /// Submits an update under a number of the caller's. It is sent again until [`stop_retrying`](Node::stop_retrying) or its result.
     pub fn submit(&mut self, now: u64, request: u64, update: Bytes) {
         self.now = now;
         self.submitted.insert(request, Submitted { update, sent: None, times: 0 });
@@ -19,7 +19,7 @@
     }
 
     /// Nobody waits for it any more. It may have happened.
-    pub fn forget(&mut self, request: u64) {
+    pub fn stop_retrying(&mut self, request: u64) {
         self.submitted.remove(&request);
     }
 
@@ -44,7 +44,7 @@
 
     /// Submits what was not answered in time again.
     pub(super) fn submit_due(&mut self) {
-        let (now, retry) = (self.now, self.settings.retry);
+        let (now, retry) = (self.now, self.settings.retry_interval_ms);
         // Twice as long each time: a chain that is slow is not to be given the same work again and again.
         let wait = |times: u32| retry << times.saturating_sub(1).min(MOST_DOUBLINGS);
         let due = |submitted: &Submitted| {
@@ -78,7 +78,7 @@
     fn has_enough_copies(&self) -> bool {
         let Some(view) = &self.durable.view else { return false };
         let voters = view.chain.iter().filter(|replica| view.voters.contains(replica)).count();
-        voters >= self.settings.copies.min(view.voters.replicas.len())
+        voters >= self.settings.min_copies.min(view.voters.replicas.len())
     }
 
     /// The next update.
@@ -88,7 +88,7 @@
         }
         let applied = match entry.update.is_empty() {
             true => Applied::default(),
-            false => self.tables.apply(entry.stamp, &entry.update),
+            false => self.state_machine.apply(entry.stamp, &entry.update),
         };
         for (key, value) in &applied.rows {
             self.rows.set(key, value.as_ref());
@@ -221,7 +221,7 @@
 
     /// Sends again what should have been committed by now.
     pub(super) fn resend_late(&mut self) {
-        let late = self.now.saturating_sub(self.progress) >= self.settings.retry;
+        let late = self.now.saturating_sub(self.progress) >= self.settings.retry_interval_ms;
         if !self.active || !late || self.committed >= self.durable.position.sequence {
             return;
         }
--- a/mesh/chain-replication/src/node/view_change.rs
+++ b/mesh/chain-replication/src/node/view_change.rs
@@ -1,7 +1,7 @@
 //! The view: what is wrong with it, a new one, and how a replica enters it.
 
 use super::{AfterSync, Node, Output};
-use crate::Tables;
+use crate::StateMachine;
 use crate::identity::{Peer, Position, Replica, View, ViewNumber, VoterSet};
 use crate::membership::{Voter, next_voters};
 use crate::message::{Heartbeat, Message};
@@ -22,7 +22,7 @@
     not_before: u64,
 }
 
-impl<T: Tables> Node<T> {
+impl<T: StateMachine> Node<T> {
     /// Another asks for a promise.
     pub(super) fn prepare(&mut self, from: Peer, number: ViewNumber, proposer: Replica, voters: u64) {
         let held = self.durable.view.as_ref().filter(|_| self.durable.established);
@@ -37,7 +37,7 @@
             self.send(from, Message::Refused { promised, voters });
             return;
         }
-        self.quiet_until = self.now + self.settings.retry * 3;
+        self.quiet_until = self.now + self.settings.retry_interval_ms * 3;
         self.make_promise(from, number);
     }
 
@@ -84,7 +84,7 @@
 
     /// Chooses the chain once all that were asked have promised, or enough have and the others are late.
     fn choose(&mut self, late: bool) {
-        let copies = self.settings.copies;
+        let copies = self.settings.min_copies;
         let Some(proposal) = self.proposal.as_mut().filter(|p| !p.chosen) else { return };
         if !proposal.complete() && !late {
             return;
@@ -116,7 +116,7 @@
             self.results.clear();
             self.dirty = true;
         }
-        self.quiet_until = self.now + self.settings.retry * 3;
+        self.quiet_until = self.now + self.settings.retry_interval_ms * 3;
         let not_before = self.lease_ends_for(&view);
         let number = view.number;
         self.entering = Some(Entering { view, base, first: base.sequence + 1, source, not_before });
@@ -155,7 +155,10 @@
         let Some(entering) = &self.entering else { return };
         let (number, source) = (entering.view.number, entering.source);
         let lacks = entering.base != self.durable.position;
-        let due = self.catch_up.asked_at.is_none_or(|at| self.now.saturating_sub(at) >= self.settings.retry);
+        let due = self
+            .catch_up
+            .asked_at
+            .is_none_or(|at| self.now.saturating_sub(at) >= self.settings.retry_interval_ms);
         if !lacks || !due {
             return;
         }
@@ -204,7 +207,7 @@
         self.submitted.values_mut().for_each(|submitted| (submitted.sent, submitted.times) = (None, 0));
         self.submit_due();
         self.send_heartbeats();
-        self.heartbeat_at = self.now + self.settings.heartbeat;
+        self.heartbeat_at = self.now + self.settings.heartbeat_interval_ms;
     }
 
     /// Sees to the view.
@@ -212,9 +215,9 @@
         let now = self.now;
         if let Some(proposal) = &self.proposal {
             let age = now.saturating_sub(proposal.since);
-            if age >= self.settings.retry * 4 {
+            if age >= self.settings.retry_interval_ms * 4 {
                 self.proposal = None;
-            } else if age >= self.settings.retry {
+            } else if age >= self.settings.retry_interval_ms {
                 self.choose(true);
             }
             return;
@@ -237,8 +240,8 @@
         let joins = change.is_some() || !wrong && self.is_head() && !self.leaving && self.can_join();
         self.joinable_since = if joins { Some(self.joinable_since.unwrap_or(now)) } else { None };
         let since = |since: Option<u64>, wait: u64| since.is_some_and(|at| now.saturating_sub(at) >= wait);
-        let due = since(self.wrong_since, self.rank() * self.settings.retry)
-            || since(self.joinable_since, self.settings.retry);
+        let due = since(self.wrong_since, self.rank() * self.settings.retry_interval_ms)
+            || since(self.joinable_since, self.settings.retry_interval_ms);
         if due && now >= self.quiet_until && self.reaches_quorum() {
             self.propose(change);
         }
@@ -249,7 +252,7 @@
         self.proposal = None;
         let me = self.settings.me;
         let before = self.peers.addresses().into_iter().filter(|peer| *peer < me).count() as u64;
-        self.quiet_until = self.now + self.settings.retry * (2 + before);
+        self.quiet_until = self.now + self.settings.retry_interval_ms * (2 + before);
     }
 
     fn all_voters_are_fit(&self) -> bool {
@@ -294,7 +297,7 @@
             // Whoever works in the newest view sees to it.
             return !self.peers.all(now).any(works);
         }
-        let settled = now.saturating_sub(self.active_since) >= self.settings.silence;
+        let settled = now.saturating_sub(self.active_since) >= self.settings.silence_timeout_ms;
         let patient = now.saturating_sub(self.active_since) < MOST_ENTERING;
         let lost = |replica: &Replica| {
             let heartbeat = self.peers.heartbeat(now, replica.peer).filter(|h| h.replica == *replica);
@@ -311,7 +314,7 @@
     /// Nothing has been committed for long though something waits.
     fn is_stuck(&self) -> bool {
         self.committed < self.durable.position.sequence
-            && self.now.saturating_sub(self.active_since) >= self.settings.silence * 2
+            && self.now.saturating_sub(self.active_since) >= self.settings.silence_timeout_ms * 2
     }
 
     /// A replica of the chain leaves, or votes no more, and the rest are enough without it.
@@ -326,7 +329,7 @@
         };
         let stays = |replica: &Replica| view.chain.contains(replica) && !leaves(replica);
         let copies = view.voters.replicas.iter().filter(|replica| stays(replica)).count();
-        let least = self.settings.copies.min(view.voters.replicas.len());
+        let least = self.settings.min_copies.min(view.voters.replicas.len());
         view.chain.iter().any(leaves) && copies >= least && view.voters.is_majority(stays)
     }
 
@@ -359,7 +362,9 @@
     /// At the head: the set of voters that is due.
     fn due_change(&self) -> Option<VoterSet> {
         let view = self.durable.view.as_ref().filter(|_| self.durable.established)?;
-        if !self.is_head() || self.leaving || self.now.saturating_sub(self.active_since) < self.settings.retry
+        if !self.is_head()
+            || self.leaving
+            || self.now.saturating_sub(self.active_since) < self.settings.retry_interval_ms
         {
             return None;
         }
--- a/mesh/chain-replication/tests/parts.rs
+++ b/mesh/chain-replication/tests/parts.rs
@@ -123,7 +123,7 @@
         position: Position::START,
         caught_up: false,
         committed: 0,
-        in_contact: false,
+        holds_lease: false,
         details: None,
     }
 }
--- a/mesh/chain-replication/tests/world/disk.rs
+++ b/mesh/chain-replication/tests/world/disk.rs
@@ -19,7 +19,7 @@
     }
 
     pub fn apply(&mut self, write: &Write) {
-        if write.replace {
+        if write.replace_all {
             self.rows.clear();
         }
         for (key, value) in &write.rows {
--- a/mesh/chain-replication/tests/world/doctored.rs
+++ b/mesh/chain-replication/tests/world/doctored.rs
@@ -1,7 +1,7 @@
 //! Machines that are wrong on purpose, so that the histories are seen to notice. What is wrong is done to their messages,
 //! their disks or their clocks; the code under test has no switch for it.
 
-use sloeline_chain_replication::message::Supply;
+use sloeline_chain_replication::message::FetchPayload;
 use sloeline_chain_replication::{Message, Position, Rows, View};
 
 /// What is wrong.
@@ -37,7 +37,7 @@
     match (doctored, message) {
         (
             Doctored::TornSnapshot,
-            Message::Supplied { supply: Supply::Piece { id, rows, last: true }, .. },
+            Message::FetchReply { payload: FetchPayload::SnapshotChunk { id, rows, last: true }, .. },
         ) => {
             rows.pop();
             let rows: Rows = rows.iter().cloned().collect();
--- a/mesh/chain-replication/tests/world/id_log.rs
+++ b/mesh/chain-replication/tests/world/id_log.rs
@@ -1,7 +1,7 @@
 //! A state to keep: the ids of updates, in their order.
 
 use bytes::Bytes;
-use sloeline_chain_replication::{Applied, Row, Rows, Tables};
+use sloeline_chain_replication::{Applied, Row, Rows, StateMachine};
 
 #[derive(Default)]
 pub struct IdLog {
@@ -30,7 +30,7 @@
     Bytes::copy_from_slice(&id.to_be_bytes())
 }
 
-impl Tables for IdLog {
+impl StateMachine for IdLog {
     fn apply(&mut self, _stamp: u64, update: &Bytes) -> Applied {
         let id = u64::from_be_bytes(update.as_ref().try_into().expect("eight bytes"));
         // The chain may be asked twice for the same: the state decides what that means.
--- a/mesh/chain-replication/tests/world/mod.rs
+++ b/mesh/chain-replication/tests/world/mod.rs
@@ -162,7 +162,15 @@
         let seeds = there.iter().take(3).map(|at| address(*at)).collect();
         let target_voters = self.founders.max(2 * self.tolerated + 1);
         let copies = self.tolerated + 1;
-        Settings { me: address(me), seeds, copies, target_voters, heartbeat: 100, silence: 700, retry: 200 }
+        Settings {
+            me: address(me),
+            seeds,
+            min_copies: copies,
+            target_voters,
+            heartbeat_interval_ms: 100,
+            silence_timeout_ms: 700,
+            retry_interval_ms: 200,
+        }
     }
 
     /// A machine's steady clock.
@@ -546,7 +554,7 @@
         let now = self.now;
         for late in self.asked.extract_if(.., |asked| asked.until <= now).collect::<Vec<_>>() {
             if let Some(node) = &mut self.machines[late.machine].node {
-                node.forget(late.request);
+                node.stop_retrying(late.request);
             }
         }
     }
@@ -566,7 +574,7 @@
 
     fn end_if_left(&mut self, at: usize) {
         let Some((latest, down)) = self.machines[at].leaves else { return };
-        let needed = self.machines[at].node.as_ref().is_some_and(|node| node.is_needed());
+        let needed = self.machines[at].node.as_ref().is_some_and(|node| node.is_in_newest_chain());
         if !needed || self.now >= latest {
             self.kill(at, false, down.unwrap_or(0));
             self.machines[at].gone = down.is_none();
@@ -607,7 +615,7 @@
         if self.doctored != Doctored::NoSync
             && let (Some(node), Some(last)) = (&mut machine.node, writes.last())
         {
-            node.written(clock, last.token);
+            node.write_synced(clock, last.token);
         }
     }
 
@@ -646,7 +654,7 @@
     fn carry_out(&mut self, at: usize) {
         let now = self.now;
         let Some(node) = &mut self.machines[at].node else { return };
-        for output in node.outputs() {
+        for output in node.take_outputs() {
             match output {
                 Output::Send { to, message } => self.post(at, to, message),
                 Output::Write(write) => {
@@ -655,7 +663,7 @@
                     if self.doctored == Doctored::NoSync
                         && let Some(node) = &mut machine.node
                     {
-                        node.written(clock, write.token);
+                        node.write_synced(clock, write.token);
                     }
                     let after = machine.disk.writes.back().map_or(now, |(due, _)| *due);
                     let due = after.max(now) + self.rng.u64(1..=machine.disk.slow);
@@ -703,11 +711,11 @@
         for at in 0..self.machines.len() {
             let clock = self.clock(at);
             let Some(node) = &self.machines[at].node else { continue };
-            if !node.in_contact(clock) {
+            if !node.holds_lease(clock) {
                 continue;
             }
             self.leases += 1;
-            if !node.tables().contains(id) {
+            if !node.state_machine().contains(id) {
                 self.fail(format!("machine {at} takes itself for current and lacks {id}, just acknowledged"));
             }
         }
--- a/mesh/control-plane/src/commands.rs
+++ b/mesh/control-plane/src/commands.rs
@@ -142,7 +142,7 @@
     }
     let disk = crate::program::draw_disk()?;
     let restored = durable.restored(settings.mesh_address(), disk);
-    store.write(&[Write { token: 0, durable: restored, rows: Vec::new(), replace: false }])?;
+    store.write(&[Write { token: 0, durable: restored, rows: Vec::new(), replace_all: false }])?;
     let position = durable.position.sequence;
     println!("restored: {} is the whole core, at position {position}", settings.mesh_address());
     println!("start this machine, then the others with empty disks");
--- a/mesh/control-plane/src/core.rs
+++ b/mesh/control-plane/src/core.rs
@@ -35,7 +35,15 @@
 /// The chain's settings on a machine: its address, where others may be, and how many machines may be lost at once.
 pub fn settings(me: SocketAddr, seeds: Vec<SocketAddr>, machine_loss: usize) -> Settings {
     let (copies, target_voters) = (machine_loss + 1, 2 * machine_loss + 1);
-    Settings { me, seeds, copies, target_voters, heartbeat: HEARTBEAT, silence: SILENCE, retry: RETRY }
+    Settings {
+        me,
+        seeds,
+        min_copies: copies,
+        target_voters,
+        heartbeat_interval_ms: HEARTBEAT,
+        silence_timeout_ms: SILENCE,
+        retry_interval_ms: RETRY,
+    }
 }
 
 /// How a core machine stands, as it was logged last.
@@ -130,7 +138,7 @@
 
     /// Whether this machine has heard a majority lately, as of this moment.
     pub fn in_contact(&self) -> bool {
-        self.look(|node, now| node.in_contact(now))
+        self.look(|node, now| node.holds_lease(now))
     }
 
     /// Waits until this machine is out of contact with a majority.
@@ -160,7 +168,7 @@
 
     /// Another core machine that is in contact, where one is heard.
     pub fn peer_in_contact(&self) -> Option<SocketAddr> {
-        self.look(|node, now| node.peer_in_contact(now))
+        self.look(|node, now| node.peer_with_lease(now))
     }
 
     /// The settings name other core machines.
@@ -184,7 +192,7 @@
     fn is_needed(&self) -> bool {
         self.look(|node, _| {
             let alone = node.known_view().is_none_or(|view| view.voters.replicas.len() < 2);
-            !alone && node.is_needed()
+            !alone && node.is_in_newest_chain()
         })
     }
 
@@ -208,7 +216,7 @@
         self.with(|node, now| node.submit(now, request, update));
         let result = timeout(within, result).await;
         self.waiting.borrow_mut().remove(&request);
-        self.node.borrow_mut().forget(request);
+        self.node.borrow_mut().stop_retrying(request);
         let result = result.map_err(|_| anyhow!("chain: no result within {} ms", within.as_millis()))?;
         let result = result.context("chain: the result was dropped")?;
         rmp_serde::from_slice(&result).context("chain: read the result")
@@ -247,7 +255,7 @@
         match event {
             DiskEvent::Written(token) => {
                 self.unsynced.borrow_mut().retain(|(unsynced, _)| *unsynced > token);
-                self.with(|node, now| node.written(now, token));
+                self.with(|node, now| node.write_synced(now, token));
             }
             DiskEvent::Failed(why) => {
                 warn!(target: "disk", "Takes no writes: {why}.");
@@ -284,7 +292,7 @@
     }
 
     fn carry_out(&self) {
-        let outputs = self.node.borrow_mut().outputs();
+        let outputs = self.node.borrow_mut().take_outputs();
         for output in outputs {
             match output {
                 Output::Send { to, message } => self.links.send(to, message),
@@ -309,7 +317,7 @@
             round: node.view().map_or(0, |view| view.number.round),
             voters: node.view().map_or(0, |view| view.voters.number),
             active: node.active(),
-            in_contact: node.in_contact(now),
+            in_contact: node.holds_lease(now),
         });
         if self.logged.replace(Some(standing)) != Some(standing) {
             let Standing { round, voters, active, in_contact } = standing;
@@ -337,7 +345,7 @@
     fn show_config(&self) {
         let shown = self.exchange.board().config().map(|config| config.edition);
         let (config, position, committed, active) = self.look(|node, _| {
-            let config = node.tables().config().map(|config| config.edition);
+            let config = node.state_machine().config().map(|config| config.edition);
             (config, node.position().sequence, node.committed(), node.active())
         });
         if config <= shown {
@@ -358,7 +366,7 @@
     }
 
     fn show(&self) {
-        let config: Option<Config> = self.node.borrow().tables().config().cloned();
+        let config: Option<Config> = self.node.borrow().state_machine().config().cloned();
         if let Some(config) = config {
             info!(target: "chain", "Configuration {:08x} is in force.", config.edition);
             self.exchange.take_config(config);
--- a/mesh/control-plane/src/disk.rs
+++ b/mesh/control-plane/src/disk.rs
@@ -96,5 +96,5 @@
 
 /// A write that changes nothing: it shows that the disk takes writes.
 fn empty(durable: &DurableState) -> Write {
-    Write { token: 0, durable: durable.clone(), rows: Vec::new(), replace: false }
+    Write { token: 0, durable: durable.clone(), rows: Vec::new(), replace_all: false }
 }
--- a/mesh/control-plane/src/program.rs
+++ b/mesh/control-plane/src/program.rs
@@ -67,12 +67,12 @@
         match open_existing(folder) {
             Ok(opened) => return Ok(opened),
             // What it has promised is in doubt, so it counts as lost: the others take this machine in again.
-            Err(why) if sloeline_storage::is_spoilt(&why) => {
+            Err(why) if sloeline_storage::is_corrupt(&why) => {
                 error!(target: "disk", "Set aside, it does not open: {why:#}.");
-                sloeline_storage::set_aside(folder)?;
+                sloeline_storage::quarantine(folder)?;
                 spoilt = true;
             }
-            Err(why) if sloeline_storage::is_other_format(&why) => return Err(why),
+            Err(why) if sloeline_storage::is_format_mismatch(&why) => return Err(why),
             Err(why) => {
                 warn!(target: "disk", "Does not open now: {why:#}.");
                 sleep(OPEN_AGAIN).await;
@@ -95,7 +95,8 @@
     let (store, durable, rows) = Store::open(folder)?;
     let rows: Rows = rows.into_iter().collect();
     if rows.digest() != durable.digest {
-        return Err(sloeline_storage::Spoilt).context("digest: the rows are not those that were written");
+        return Err(sloeline_storage::StoreCorrupt)
+            .context("digest: the rows are not those that were written");
     }
     Ok((store, durable, rows))
 }
@@ -104,7 +105,7 @@
 pub(crate) fn draw_disk() -> Result<u64> {
     let mut drawn = [0; 8];
     getrandom::fill(&mut drawn).map_err(|e| anyhow::anyhow!("draw the disk's number: {e}"))?;
-    Ok(u64::from_le_bytes(drawn).max(sloeline_chain_replication::FOUNDER_DISK + 1))
+    Ok(u64::from_le_bytes(drawn).max(sloeline_chain_replication::FOUNDER_DISK_ID + 1))
 }
 
 /// Where core machines may be, as the settings have it. A machine that knows of no other is the whole core.
--- a/mesh/control-plane/src/tables.rs
+++ b/mesh/control-plane/src/tables.rs
@@ -2,7 +2,7 @@
 
 use bytes::{BufMut, Bytes, BytesMut};
 use serde::{Deserialize, Serialize};
-use sloeline_chain_replication::{Applied, Row, Rows, Tables};
+use sloeline_chain_replication::{Applied, Row, Rows, StateMachine};
 use sloeline_discovery::Config;
 use sloeline_idempotency::{Claim, Claims, Outcome, Update};
 
@@ -105,7 +105,7 @@
     row.freeze()
 }
 
-impl Tables for State {
+impl StateMachine for State {
     fn apply(&mut self, stamp: u64, update: &Bytes) -> Applied {
         let Ok(change) = rmp_serde::from_slice::<Change>(update) else {
             return Applied { result: encoded(&ChangeResult::Unknown), rows: Vec::new() };
--- a/mesh/control-plane/tests/catch_up.rs
+++ b/mesh/control-plane/tests/catch_up.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use sloeline_chain_replication::message::Supply;
+use sloeline_chain_replication::message::FetchPayload;
 use sloeline_chain_replication::{DurableState, Message, Node, Output, Rows, VoterSet, Write};
 use sloeline_control_plane::core::settings;
 use sloeline_control_plane::tables::{Change, State};
@@ -29,7 +29,7 @@
 
 impl Disk {
     fn apply(&mut self, write: &Write) {
-        if write.replace {
+        if write.replace_all {
             self.rows.clear();
         }
         for (key, value) in &write.rows {
@@ -60,11 +60,13 @@
     std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(default)
 }
 
-fn supplied_bytes(supply: &Supply) -> usize {
-    match supply {
-        Supply::Entries { entries, .. } => entries.iter().map(|entry| entry.update.len() + 64).sum(),
-        Supply::Piece { rows, .. } => rows.iter().map(|(key, value)| key.len() + value.len()).sum(),
-        Supply::Wait => 0,
+fn supplied_bytes(payload: &FetchPayload) -> usize {
+    match payload {
+        FetchPayload::Entries { entries, .. } => entries.iter().map(|entry| entry.update.len() + 64).sum(),
+        FetchPayload::SnapshotChunk { rows, .. } => {
+            rows.iter().map(|(key, value)| key.len() + value.len()).sum()
+        }
+        FetchPayload::RetryLater => 0,
     }
 }
 
@@ -115,7 +117,7 @@
     fn act(&mut self, at: usize, step: impl FnOnce(&mut Node<State>, u64)) {
         let mut written = self.act_once(at, step);
         while let Some(token) = written {
-            written = self.act_once(at, |node, now| node.written(now, token));
+            written = self.act_once(at, |node, now| node.write_synced(now, token));
         }
     }
 
@@ -125,18 +127,18 @@
         let node = self.nodes[at].as_mut()?;
         let started = Instant::now();
         step(node, self.now);
-        let outputs = node.outputs();
+        let outputs = node.take_outputs();
         if at != 2 {
             self.longest = self.longest.max(started.elapsed());
         }
         for output in outputs {
             match output {
                 Output::Send { to, message } => {
-                    if let Message::Supplied { supply, .. } = &message
+                    if let Message::FetchReply { payload, .. } = &message
                         && to == self.peers[2]
                     {
-                        self.supplied.0 += supplied_bytes(supply);
-                        self.supplied.1 += usize::from(matches!(supply, Supply::Piece { .. }));
+                        self.supplied.0 += supplied_bytes(payload);
+                        self.supplied.1 += usize::from(matches!(payload, FetchPayload::SnapshotChunk { .. }));
                     }
                     self.sent.push_back((at, to, message));
                 }
@@ -226,7 +228,7 @@
             assert!(core.now - started < 4_000, "sync_time");
             let old = core.nodes[2].as_ref().expect("it runs");
             assert!(
-                old.position().sequence >= behind || !old.in_contact(core.now),
+                old.position().sequence >= behind || !old.holds_lease(core.now),
                 "old state serves nobody"
             );
             let asked = core.now;
--- a/mesh/control-plane/tests/tables.rs
+++ b/mesh/control-plane/tests/tables.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use quickcheck::quickcheck;
-use sloeline_chain_replication::Tables;
+use sloeline_chain_replication::StateMachine;
 use sloeline_control_plane::tables::{Change, ChangeResult, State};
 use sloeline_discovery::Config;
 use sloeline_idempotency::{Outcome, Update};
--- a/mesh/storage/src/lib.rs
+++ b/mesh/storage/src/lib.rs
@@ -49,21 +49,21 @@
 
 /// The file is there and holds no store: to open it again will not help. Everything else that goes wrong may pass.
 #[derive(Debug)]
-pub struct Spoilt;
+pub struct StoreCorrupt;
 
-impl fmt::Display for Spoilt {
+impl fmt::Display for StoreCorrupt {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "the file is spoilt")
     }
 }
 
-impl std::error::Error for Spoilt {}
+impl std::error::Error for StoreCorrupt {}
 
 /// The file is a store of another format, made by another release.
 #[derive(Debug)]
-pub struct OtherFormat(u8);
+pub struct FormatMismatch(u8);
 
-impl fmt::Display for OtherFormat {
+impl fmt::Display for FormatMismatch {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -73,15 +73,15 @@
     }
 }
 
-impl std::error::Error for OtherFormat {}
+impl std::error::Error for FormatMismatch {}
 
 /// Whether an error says that the store is of another format.
-pub fn is_other_format(why: &anyhow::Error) -> bool {
-    why.chain().any(|cause| cause.is::<OtherFormat>())
+pub fn is_format_mismatch(why: &anyhow::Error) -> bool {
+    why.chain().any(|cause| cause.is::<FormatMismatch>())
 }
 
 /// Whether an error says that the file is spoilt.
-pub fn is_spoilt(why: &anyhow::Error) -> bool {
+pub fn is_corrupt(why: &anyhow::Error) -> bool {
     let corrupted = |e: &StorageError| match e {
         StorageError::Corrupted(_) => true,
         StorageError::Io(e) => matches!(e.kind(), ErrorKind::InvalidData | ErrorKind::UnexpectedEof),
@@ -93,13 +93,13 @@
             matches!(cause.downcast_ref::<DatabaseError>(), Some(DatabaseError::Storage(e)) if corrupted(e));
         let table =
             matches!(cause.downcast_ref::<TableError>(), Some(e) if !matches!(e, TableError::Storage(_)));
-        cause.is::<Spoilt>() || storage || opening || table
+        cause.is::<StoreCorrupt>() || storage || opening || table
     })
 }
 
 /// What a spoilt file makes of the library is an error here as well, be it a panic.
 fn guarded<T>(open: impl FnOnce() -> Result<T>) -> Result<T> {
-    catch_unwind(AssertUnwindSafe(open)).unwrap_or_else(|_| Err(Spoilt.into()))
+    catch_unwind(AssertUnwindSafe(open)).unwrap_or_else(|_| Err(StoreCorrupt.into()))
 }
 
 fn open(path: &Path) -> Result<Database> {
@@ -107,7 +107,7 @@
 }
 
 /// Sets a file aside that does not open: this disk is as good as lost, and the next start finds none.
-pub fn set_aside(folder: &Path) -> Result<()> {
+pub fn quarantine(folder: &Path) -> Result<()> {
     fs::rename(folder.join(FILE), folder.join(DOUBTFUL)).context("set the spoilt file aside")?;
     File::open(folder).and_then(|f| f.sync_all()).context("sync the folder")
 }
@@ -141,14 +141,14 @@
     }
 
     /// A new store on something else than a file.
-    pub fn create_on(backend: impl StorageBackend, durable: &DurableState) -> Result<Store> {
+    pub fn create_with_backend(backend: impl StorageBackend, durable: &DurableState) -> Result<Store> {
         let store = Store { database: builder().create_with_backend(backend).context("open the backend")? };
         store.begin(durable)?;
         Ok(store)
     }
 
-    /// Opens what [`create_on`](Store::create_on) made and reads all of it.
-    pub fn open_on(backend: impl StorageBackend) -> Result<(Store, DurableState, Rows)> {
+    /// Opens what [`create_with_backend`](Store::create_with_backend) made and reads all of it.
+    pub fn open_with_backend(backend: impl StorageBackend) -> Result<(Store, DurableState, Rows)> {
         guarded(|| Store::read(builder().create_with_backend(backend).context("open the backend")?))
     }
 
@@ -166,9 +166,10 @@
         match format.as_deref() {
             Some(format) if format == FORMAT => {}
             // It may hold what was acknowledged: it is neither read nor set aside.
-            Some(&[other]) => return Err(OtherFormat(other).into()),
+            Some(&[other]) => return Err(FormatMismatch(other).into()),
             _ => {
-                return Err(Spoilt).with_context(|| format!("format: found {format:?}, expected {FORMAT:?}"));
+                return Err(StoreCorrupt)
+                    .with_context(|| format!("format: found {format:?}, expected {FORMAT:?}"));
             }
         }
         let durable = meta
@@ -194,7 +195,7 @@
         {
             let mut meta = transaction.open_table(META)?;
             meta.insert("durable", rmp_serde::to_vec(&last.durable)?.as_slice())?;
-            let from = writes.iter().rposition(|w| w.replace);
+            let from = writes.iter().rposition(|w| w.replace_all);
             if from.is_some() {
                 transaction.delete_table(ROWS)?;
             }
--- a/mesh/storage/tests/torn.rs
+++ b/mesh/storage/tests/torn.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use redb::StorageBackend;
 use sloeline_chain_replication::{DurableState, VoterSet, Write};
-use sloeline_storage::{Store, exists, is_spoilt};
+use sloeline_storage::{Store, exists, is_corrupt};
 
 struct Folder(PathBuf);
 
@@ -41,7 +41,7 @@
 fn write(token: u64, rows: Vec<(Bytes, Option<Bytes>)>, replace: bool) -> Write {
     let mut durable = durable();
     durable.position.sequence = token;
-    Write { token, durable, rows, replace }
+    Write { token, durable, rows, replace_all: replace }
 }
 
 #[test]
@@ -158,7 +158,7 @@
     for seed in 0..150 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut disk = Disk::default();
-        let mut store = Store::create_on(disk.clone(), &durable()).expect("a store");
+        let mut store = Store::create_with_backend(disk.clone(), &durable()).expect("a store");
         let mut synced = 0;
         for round in 0..6 {
             let first = synced + 1;
@@ -176,8 +176,8 @@
             let (least, image) = images.swap_remove(rng.usize(..images.len()));
             // The library's own end writes too; it is not heard of here.
             std::mem::forget(store);
-            let (again, durable, rows) =
-                Store::open_on(image.clone()).unwrap_or_else(|e| panic!("seed {seed}, round {round}: {e:#}"));
+            let (again, durable, rows) = Store::open_with_backend(image.clone())
+                .unwrap_or_else(|e| panic!("seed {seed}, round {round}: {e:#}"));
             let held = durable.position.sequence;
             assert!(held >= least && held <= last, "seed {seed}: {held} of {least} to {last}");
             let expected = if held == 0 { 0 } else { 3 };
@@ -203,10 +203,10 @@
     ] {
         fs::write(&path, bytes).expect("a file");
         let why = Store::open(folder.path()).err().unwrap_or_else(|| panic!("{what} opens"));
-        assert!(is_spoilt(&why), "{what}: {why:#}");
+        assert!(is_corrupt(&why), "{what}: {why:#}");
         assert!(exists(folder.path()).expect("a look"), "{what}");
     }
-    sloeline_storage::set_aside(folder.path()).expect("a new name");
+    sloeline_storage::quarantine(folder.path()).expect("a new name");
     assert!(!exists(folder.path()).expect("a look"));
 }
 
@@ -215,7 +215,7 @@
     let folder = Folder::new("open");
     let store = Store::create(folder.path(), &durable()).expect("a store");
     let why = Store::open(folder.path()).err().expect("it is open");
-    assert!(!is_spoilt(&why), "{why:#}");
+    assert!(!is_corrupt(&why), "{why:#}");
     drop(store);
     assert!(Store::open(folder.path()).is_ok());
 }
--- a/mesh/testbed/examples/slopes.rs
+++ b/mesh/testbed/examples/slopes.rs
@@ -95,7 +95,7 @@
         loop {
             let mut quiet = true;
             for at in 0..nodes.len() {
-                let outputs = nodes[at].outputs();
+                let outputs = nodes[at].take_outputs();
                 quiet &= outputs.is_empty();
                 for output in outputs {
                     match output {
@@ -110,7 +110,7 @@
                                 nodes[to].receive(now, from, message);
                             }
                         }
-                        Output::Write(write) => nodes[at].written(now, write.token),
+                        Output::Write(write) => nodes[at].write_synced(now, write.token),
                         Output::Result { .. } => results += 1,
                     }
                 }
