--- a/config/src/check.rs
+++ b/config/src/check.rs
@@ -4,9 +4,9 @@
 
 use finchshift::Effect;
 use sloeline_limits::divide;
-use sloeline_routing::analysis::{Finding, findings};
+use sloeline_routing::analysis::{Finding, analyze};
 use sloeline_routing::pattern::Route;
-use sloeline_routing::split::WHOLE;
+use sloeline_routing::split::TOTAL_WEIGHT;
 use sloeline_routing::target::Path;
 
 use crate::model::{Config, RouteTo};
@@ -173,9 +173,9 @@
     let sum: u64 = route.split.iter().map(|(_, w)| u64::from(*w)).sum();
     if sum == 0 {
         problems.add(&route.span, &key("split"), "weights that are all 0", "one that is more");
-    } else if sum != u64::from(WHOLE) && !asserted("split-sum") {
+    } else if sum != u64::from(TOTAL_WEIGHT) && !asserted("split-sum") {
         let found = format!("weights that add up to {sum}");
-        problems.dangerous(&route.span, &key("split"), found, format!("{WHOLE} in all"), "split-sum");
+        problems.dangerous(&route.span, &key("split"), found, format!("{TOTAL_WEIGHT} in all"), "split-sum");
     }
     if route.sticky.is_some() && route.split.len() < 2 {
         problems.warn(&route.span, &key("sticky"), "one pool", "a split, or no sticky");
@@ -187,7 +187,7 @@
     let routes: Vec<Route> = on.iter().map(|r| r.route.clone()).collect();
     let name = |at: usize| format!("{:?} (line {})", on[at].route.name, problems.line(&on[at].span));
     let asserts = |at: usize, what: &str| on[at].assert.iter().any(|a| a == what);
-    for finding in findings(&routes) {
+    for finding in analyze(&routes) {
         match finding {
             Finding::Overlap(a, b) if !(asserts(a, "overlap") && asserts(b, "overlap")) => {
                 let found = format!("requests that fit {} as well, and neither goes first", name(a));
@@ -202,7 +202,7 @@
                 let expected = "conditions that one request can meet";
                 problems.dangerous(&on[at].span, &key, found, expected, "unreachable");
             }
-            Finding::Covered(at, by) if !asserts(at, "unreachable") => {
+            Finding::Shadowed(at, by) if !asserts(at, "unreachable") => {
                 let by: BTreeSet<String> = by.into_iter().map(name).collect();
                 let by = by.into_iter().collect::<Vec<_>>().join(", ");
                 let found = format!("that all its requests go to {by}");
@@ -219,7 +219,7 @@
     let Ok(ready_path) = Path::parse(ready) else { return };
     for route in on {
         let path = &route.route.path;
-        let literal = path.parameters() == 0 && !path.prefix;
+        let literal = path.parameter_count() == 0 && !path.prefix;
         if literal && path.matches(&ready_path) && !route.assert.iter().any(|a| a == "unreachable") {
             let found = format!("{ready}, which listener {listener:?} answers itself");
             let key = format!("route {:?}: path", route.route.name);
--- a/config/src/described.rs
+++ b/config/src/described.rs
@@ -360,7 +360,7 @@
             let Ok(path) = pattern(template) else { continue };
             let fits: Vec<&&RouteTo> = mine
                 .iter()
-                .filter(|r| r.route.takes(&operation.method) && meet(&path, &r.route.path))
+                .filter(|r| r.route.allows_method(&operation.method) && meet(&path, &r.route.path))
                 .collect();
             met.extend(fits.iter().map(|r| r.route.name.as_str()));
             let whole = |r: &&&RouteTo| r.route.conditions.is_empty() && within(&path, &r.route.path);
--- a/config/src/routes.rs
+++ b/config/src/routes.rs
@@ -1,6 +1,6 @@
 //! Reads `[[route]]`.
 
-use sloeline_routing::pattern::{Condition, HostPattern, PathPattern, Place, Route, Test};
+use sloeline_routing::pattern::{Condition, ConditionSource, HostPattern, PathPattern, Predicate, Route};
 use toml::de::DeValue;
 
 use crate::model::{ASSERTIONS, RouteTo, Source};
@@ -173,9 +173,9 @@
     let mut list = Vec::new();
     for (name, value) in section.pairs() {
         let test = match value {
-            DeValue::String(text) => Test::Equals(text.to_string()),
-            DeValue::Boolean(true) => Test::Present,
-            DeValue::Boolean(false) => Test::Absent,
+            DeValue::String(text) => Predicate::Equals(text.to_string()),
+            DeValue::Boolean(true) => Predicate::Present,
+            DeValue::Boolean(false) => Predicate::Absent,
             _ => {
                 let expected = "a text, true (present) or false (absent)";
                 section.wrong(&name.span, &name.value, "something else", expected);
@@ -186,9 +186,12 @@
             section.wrong(&name.span, &name.value, format!("{:?}", name.value), "the name of a header");
             continue;
         }
-        let place =
-            if header { Place::Header(name.value.to_ascii_lowercase()) } else { Place::Query(name.value) };
-        list.push(Condition { place, test });
+        let place = if header {
+            ConditionSource::Header(name.value.to_ascii_lowercase())
+        } else {
+            ConditionSource::Query(name.value)
+        };
+        list.push(Condition { source: place, predicate: test });
     }
     list
 }
@@ -198,7 +201,7 @@
     match (pool, sides.is_empty()) {
         (Some(pool), true) => {
             known(section, &pool, "pool", &names.pools, "pool");
-            Some(vec![(pool.value, sloeline_routing::split::WHOLE)])
+            Some(vec![(pool.value, sloeline_routing::split::TOTAL_WEIGHT)])
         }
         (None, false) => {
             let mut split: Vec<(String, u32)> = Vec::new();
@@ -231,7 +234,7 @@
         Some(("query", name)) if !name.is_empty() => Ok(Source::Query(name.to_owned())),
         Some(("path", name)) => match path {
             Some(path) => path
-                .parameter(name)
+                .parameter_index(name)
                 .map(Source::Segment)
                 .ok_or_else(|| format!("a parameter of {path}; {name:?} is none")),
             // Its own error was noted.
--- a/emulator/src/host.rs
+++ b/emulator/src/host.rs
@@ -6,7 +6,7 @@
 use finchshift as fs;
 use finchshift::{ListKind, Micros, Outcome, RequestId, ServerState};
 use sloeline_engine::core::{Arrival, Core, Output};
-use sloeline_engine::types::{Answer, Listed};
+use sloeline_engine::types::{Answer, DiscoveryEntry};
 use sloeline_settings::setup::Names;
 
 /// The final answer as its caller sees it.
@@ -124,25 +124,25 @@
 
 impl Host for Ours {
     fn ask(&mut self, now: Micros, arrival: Arrival, _key: u64) -> RequestId {
-        self.core.ask(now, arrival)
+        self.core.submit(now, arrival)
     }
 
     fn gone(&mut self, now: Micros, request: RequestId) {
-        self.core.gone(now, request);
+        self.core.caller_gone(now, request);
     }
 
     fn ended(&mut self, now: Micros, request: RequestId, attempt: u32, outcome: Outcome) {
-        let mut ended = sloeline_engine::core::Ended::from(outcome);
+        let mut ended = sloeline_engine::core::AttemptEnd::from(outcome);
         ended.reply = (outcome == Outcome::Ok).then_some(());
-        self.core.ended(now, request, attempt, ended);
+        self.core.attempt_ended(now, request, attempt, ended);
     }
 
     fn aborted(&mut self, now: Micros, request: RequestId, attempt: u32, why: Outcome, may_have_run: bool) {
-        self.core.aborted(now, request, attempt, why, may_have_run);
+        self.core.attempt_aborted(now, request, attempt, why, may_have_run);
     }
 
     fn list(&mut self, now: Micros, kind: ListKind, news: &[News]) {
-        let listed = |n: &News| Listed {
+        let listed = |n: &News| DiscoveryEntry {
             instance: format!("n-{}", n.node),
             address: address(n.node),
             zone: format!("z{}", n.zone),
@@ -152,21 +152,21 @@
             weight: 1.0,
             started: n.started,
         };
-        let listed: Vec<Listed> = news.iter().map(listed).collect();
-        self.core.list(now, kind, &listed);
+        let listed: Vec<DiscoveryEntry> = news.iter().map(listed).collect();
+        self.core.update_list(now, kind, &listed);
     }
 
     fn due(&self) -> Option<Micros> {
-        self.core.due()
+        self.core.next_timer()
     }
 
     fn ring(&mut self, now: Micros) {
-        while self.core.ring(now) {}
+        while self.core.fire_timer(now) {}
     }
 
     fn deed(&mut self) -> Option<Deed> {
         loop {
-            return Some(match self.core.output()? {
+            return Some(match self.core.next_output()? {
                 Output::Send { request, attempt, to, .. } => {
                     Deed::Send { request, attempt, node: number(to.address) }
                 }
--- a/emulator/src/run.rs
+++ b/emulator/src/run.rs
@@ -502,7 +502,7 @@
             tenant: None,
             work: None,
             retry: call.tries > 1,
-            coming: false,
+            body_pending: false,
             operation: None,
         };
         call.at = At::Balancer;
--- a/engine/src/core.rs
+++ b/engine/src/core.rs
@@ -14,7 +14,7 @@
 use sloeline_settings::setup::Names;
 
 use crate::registry::Registry;
-use crate::types::{Answer, Failure, Listed, Target};
+use crate::types::{Answer, DiscoveryEntry, Failure, Target};
 
 /// The module is told this much less than the client's time: the answer's way back and the timers' grain.
 const MARGIN: Micros = 10_000;
@@ -27,7 +27,7 @@
 /// What the core wants done. All of it concerns the outside; nothing needs to be told back but what each says.
 #[derive(Debug, PartialEq)]
 pub enum Output<R> {
-    /// Start an attempt. Its end is told by [`Core::ended`], once.
+    /// Start an attempt. Its end is told by [`Core::attempt_ended`], once.
     Send {
         /// The request.
         request: RequestId,
@@ -38,7 +38,7 @@
         /// How long it may take; the core ends it by itself.
         limit: Micros,
     },
-    /// End an attempt by closing its connection; told by [`Core::aborted`].
+    /// End an attempt by closing its connection; told by [`Core::attempt_aborted`].
     Abort {
         /// The request.
         request: RequestId,
@@ -59,7 +59,7 @@
         /// The request.
         request: RequestId,
     },
-    /// Ask an upstream how it is; told by [`Core::probed`].
+    /// Ask an upstream how it is; told by [`Core::probe_ended`].
     Probe {
         /// Where to.
         to: Target,
@@ -127,15 +127,15 @@
     pub work: Option<Micros>,
     /// Its client marks it as a repeat.
     pub retry: bool,
-    /// Its body still comes; [`Core::has_come`] tells its last byte.
-    pub coming: bool,
+    /// Its body still comes; [`Core::body_received`] tells its last byte.
+    pub body_pending: bool,
     /// The operation that it runs, where that is known.
     pub operation: Option<u64>,
 }
 
 /// An open request, as operators see it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Standing {
+pub struct RequestStatus {
     /// Its number, in the order of arrival.
     pub request: RequestId,
     /// Its class.
@@ -145,44 +145,44 @@
     /// Since it came, or since its last byte did.
     pub age: Micros,
     /// What is left of its client's time.
-    pub left: Micros,
+    pub time_left: Micros,
     /// Attempts so far.
-    pub sent: u32,
+    pub attempts: u32,
     /// An attempt may have run.
-    pub doubt: bool,
+    pub may_have_run: bool,
     /// Where it is out, and for how long.
-    pub out: Vec<(String, Micros)>,
+    pub in_flight: Vec<(String, Micros)>,
 }
 
 /// How far an open request is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
     /// Nothing is out for it.
-    Held,
+    Queued,
     /// An attempt is out.
-    Out,
+    InFlight,
     /// An attempt is out, and the body still comes from the client.
-    Coming,
+    ReceivingBody,
     /// Its client has its answer, or has left; an attempt is still to end.
     Answered,
 }
 
 /// How an attempt ended, as its connection tells.
 #[derive(Debug)]
-pub struct Ended<R> {
+pub struct AttemptEnd<R> {
     /// How.
     pub outcome: Outcome,
     /// What the upstream told of its load.
     pub load: Option<fs::Load>,
-    /// Its answer, for the caller; nothing where [`Core::began`] passed it on.
+    /// Its answer, for the caller; nothing where [`Core::response_started`] passed it on.
     pub reply: Option<R>,
     /// A part of a body that passes on is used up: the request cannot be sent again.
-    pub spent: bool,
+    pub body_consumed: bool,
 }
 
-impl<R> From<Outcome> for Ended<R> {
-    fn from(outcome: Outcome) -> Ended<R> {
-        Ended { outcome, load: None, reply: None, spent: false }
+impl<R> From<Outcome> for AttemptEnd<R> {
+    fn from(outcome: Outcome) -> AttemptEnd<R> {
+        AttemptEnd { outcome, load: None, reply: None, body_consumed: false }
     }
 }
 
@@ -208,9 +208,9 @@
     warm_after: Micros,
     /// See [`Core::refuse_unsent`].
     refuses_unsent: bool,
-    /// See [`Core::end_for_gone`].
+    /// See [`Core::cancel_on_disconnect`].
     ends_for_gone: bool,
-    /// See [`Core::set_cutting`].
+    /// See [`Core::set_cancellation`].
     keeps: bool,
     /// Upstreams that are cold.
     cold: HashMap<ServerId, Cold>,
@@ -287,49 +287,49 @@
     }
 
     /// The next thing to do. Taken after each call, until there is none.
-    pub fn output(&mut self) -> Option<Output<R>> {
+    pub fn next_output(&mut self) -> Option<Output<R>> {
         self.outputs.pop_front()
     }
 
-    /// When [`ring`](Core::ring) is due next.
-    pub fn due(&self) -> Option<Micros> {
+    /// When [`fire_timer`](Core::fire_timer) is due next.
+    pub fn next_timer(&self) -> Option<Micros> {
         self.timers.peek().map(|Reverse((at, ..))| *at)
     }
 
     // What can be seen.
 
     /// A list of upstreams has come, be it the known one.
-    pub fn listed(&self) -> bool {
+    pub fn has_list(&self) -> bool {
         self.listed
     }
 
     /// How many upstreams are listed that take requests.
-    pub fn upstreams(&self) -> usize {
+    pub fn ready_upstreams(&self) -> usize {
         self.registry.ready()
     }
 
     /// How many requests are open: not answered, or with an attempt out.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.open.len()
     }
 
     /// Whether a request of the class is open.
-    pub fn uses(&self, class: fs::ClassId) -> bool {
+    pub fn class_in_use(&self, class: fs::ClassId) -> bool {
         self.open.values().any(|o| o.class == class)
     }
 
     /// The list as it was told last; nothing before the first.
-    pub fn list_held(&self) -> Option<Vec<Listed>> {
+    pub fn current_list(&self) -> Option<Vec<DiscoveryEntry>> {
         self.listed.then(|| self.registry.listed())
     }
 
     /// How many open requests are at each stage, and the oldest of them.
-    pub fn requests(&self, now: Micros, most: usize) -> (BTreeMap<Stage, usize>, Vec<Standing>) {
+    pub fn requests(&self, now: Micros, most: usize) -> (BTreeMap<Stage, usize>, Vec<RequestStatus>) {
         let stage = |open: &Open<R>| match (open.waits, open.out.is_empty(), open.coming) {
             (false, ..) => Stage::Answered,
-            (true, true, _) => Stage::Held,
-            (true, false, true) => Stage::Coming,
-            (true, false, false) => Stage::Out,
+            (true, true, _) => Stage::Queued,
+            (true, false, true) => Stage::ReceivingBody,
+            (true, false, false) => Stage::InFlight,
         };
         let mut stages = BTreeMap::new();
         self.open.values().for_each(|open| *stages.entry(stage(open)).or_default() += 1);
@@ -342,37 +342,37 @@
         let name = |server| self.registry.name(server).unwrap_or_default().to_owned();
         let told = |id: RequestId| {
             let open = self.open.get(&id)?;
-            Some(Standing {
+            Some(RequestStatus {
                 request: id,
                 class: open.class,
                 stage: stage(open),
                 age: (now + open.time_left).saturating_sub(open.deadline),
-                left: open.deadline.saturating_sub(now),
-                sent: open.sent,
-                doubt: open.doubt,
-                out: open.out.iter().map(|o| (name(o.server), now.saturating_sub(o.at))).collect(),
+                time_left: open.deadline.saturating_sub(now),
+                attempts: open.sent,
+                may_have_run: open.doubt,
+                in_flight: open.out.iter().map(|o| (name(o.server), now.saturating_sub(o.at))).collect(),
             })
         };
         (stages, oldest.into_iter().filter_map(told).collect())
     }
 
     /// Whether an upstream is or was listed.
-    pub fn met(&self, instance: &str) -> bool {
+    pub fn ever_listed(&self, instance: &str) -> bool {
         self.registry.has_met(instance)
     }
 
     /// The number of an upstream that is listed. It outlives the list's next word.
-    pub fn number(&self, instance: &str) -> Option<ServerId> {
+    pub fn server_id(&self, instance: &str) -> Option<ServerId> {
         self.registry.known(instance)
     }
 
     /// Attempts that are out to an upstream.
-    pub fn carries(&self, server: ServerId) -> usize {
+    pub fn attempts_to(&self, server: ServerId) -> usize {
         self.open.values().flat_map(|open| &open.out).filter(|out| out.server == server).count()
     }
 
     /// Goes on under other settings, with what was learned: see [`fs::Balancer::reconfigure`]. The zone keeps its
-    /// number, and a class that [`uses`](Core::uses) must keep number and effect.
+    /// number, and a class that [`class_in_use`](Core::class_in_use) must keep number and effect.
     pub fn reconfigure(
         &mut self,
         settings: fs::Settings,
@@ -391,24 +391,24 @@
 
     /// Attempts end with the caller that leaves, also while attempts are kept: nobody waits for them, and one that still queues
     /// somewhere must not reach its upstream.
-    pub fn end_for_gone(&mut self) {
+    pub fn cancel_on_disconnect(&mut self) {
         self.ends_for_gone = true;
     }
 
     /// Whether attempts are cut short from now on. One that is not, and whose upstream is at work, has what is left of its
     /// client's time.
-    pub fn set_cutting(&mut self, cuts: bool) {
+    pub fn set_cancellation(&mut self, cuts: bool) {
         self.keeps = !cuts;
     }
 
     // Requests.
 
     /// Takes a request; its number. Its one final answer comes as an [`Output::Answer`].
-    pub fn ask(&mut self, now: Micros, arrival: Arrival) -> RequestId {
-        let Arrival { class, time_left, tenant, work, retry, coming, operation } = arrival;
+    pub fn submit(&mut self, now: Micros, arrival: Arrival) -> RequestId {
+        let Arrival { class, time_left, tenant, work, retry, body_pending: coming, operation } = arrival;
         let (id, deadline) = (self.next, now + time_left);
         self.next += 1;
-        let (out, limits, failure) = (Vec::new(), Vec::new(), Failure::Time);
+        let (out, limits, failure) = (Vec::new(), Vec::new(), Failure::DeadlineExceeded);
         let open = Open {
             class,
             operation,
@@ -433,7 +433,7 @@
     /// From now on no request of an operation gets a further attempt once one of its own may have run, whatever its class
     /// says. Those that are between two attempts have no other answer than that they failed; an attempt that is out is the
     /// request's last.
-    pub fn narrow(&mut self, now: Micros, operation: u64) {
+    pub fn forbid_retry(&mut self, now: Micros, operation: u64) {
         self.narrowed.insert(operation);
         let between = |o: &Open<R>| o.operation == Some(operation) && o.doubt && o.waits && o.out.is_empty();
         let mut given_up: Vec<RequestId> =
@@ -451,7 +451,7 @@
     }
 
     /// The client left, or has its answer.
-    pub fn gone(&mut self, now: Micros, id: RequestId) {
+    pub fn caller_gone(&mut self, now: Micros, id: RequestId) {
         let Some(open) = self.open.get_mut(&id) else { return };
         let left = std::mem::replace(&mut open.waits, false);
         // Its body can never come whole, and no limit would end it.
@@ -467,7 +467,7 @@
     }
 
     /// The last byte of a body that passes on has come: the time of the request and of its attempt begins.
-    pub fn has_come(&mut self, now: Micros, id: RequestId) {
+    pub fn body_received(&mut self, now: Micros, id: RequestId) {
         let Some(open) = self.open.get_mut(&id).filter(|o| o.coming) else { return };
         open.coming = false;
         open.deadline = now + open.time_left;
@@ -482,7 +482,7 @@
     /// The beginning of an answer that goes on has come: the caller gets it now. Its end is told as ever. Where the
     /// caller has left the reply comes back: to drop it may end the attempt, which is not for in here.
     #[must_use]
-    pub fn began(&mut self, now: Micros, id: RequestId, attempt: u32, reply: R) -> Option<R> {
+    pub fn response_started(&mut self, now: Micros, id: RequestId, attempt: u32, reply: R) -> Option<R> {
         let Some(open) = self.open.get_mut(&id) else { return Some(reply) };
         let Some(out) = open.out.iter_mut().find(|o| o.attempt == attempt) else { return Some(reply) };
         out.begun = true;
@@ -495,15 +495,15 @@
     }
 
     /// The one outcome of an attempt; later ones find it no longer out.
-    pub fn ended(&mut self, now: Micros, id: RequestId, attempt: u32, ended: Ended<R>) {
-        let Ended { outcome, load, reply, spent } = ended;
+    pub fn attempt_ended(&mut self, now: Micros, id: RequestId, attempt: u32, ended: AttemptEnd<R>) {
+        let AttemptEnd { outcome, load, reply, body_consumed: spent } = ended;
         let Some(open) = self.open.get_mut(&id) else { return };
         let Some(at) = open.out.iter().position(|o| o.attempt == attempt) else { return };
         let out = open.out.swap_remove(at);
         open.limits.retain(|(a, _)| *a != attempt);
         open.doubt |= outcome != Outcome::Ok && !outcome.never_ran();
         let timed_out = matches!(outcome, Outcome::TimedOut | Outcome::Cancelled);
-        open.failure = if timed_out { Failure::Time } else { Failure::Upstream };
+        open.failure = if timed_out { Failure::DeadlineExceeded } else { Failure::Upstream };
         let no_repeat = open.doubt && open.operation.is_some_and(|o| self.narrowed.contains(&o));
         let (reply, error) = if outcome == Outcome::Error { (None, reply) } else { (reply, None) };
         open.error = error;
@@ -535,13 +535,20 @@
     }
 
     /// An attempt was ended from this side, as [`Output::Abort`] asked. One whose request was not written never ran.
-    pub fn aborted(&mut self, now: Micros, id: RequestId, attempt: u32, why: Outcome, may_have_run: bool) {
+    pub fn attempt_aborted(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        attempt: u32,
+        why: Outcome,
+        may_have_run: bool,
+    ) {
         let outcome = match why {
             Outcome::TimedOut if !may_have_run => Outcome::ConnectFailed,
             Outcome::Cancelled if !may_have_run => Outcome::NotSent,
             other => other,
         };
-        self.ended(now, id, attempt, outcome.into());
+        self.attempt_ended(now, id, attempt, outcome.into());
     }
 
     /// Something that the module left is answered just before its client's time. Guards against a defect in it.
@@ -556,7 +563,8 @@
         if open.out.is_empty() {
             tell!(DEFECT, what = %"unanswered"; "defect: the module left request {id} unanswered; failed just before its time");
         }
-        self.outputs.push_back(Output::Answer { request: id, answer: Answer::Failed(Failure::Time) });
+        self.outputs
+            .push_back(Output::Answer { request: id, answer: Answer::Failed(Failure::DeadlineExceeded) });
         self.feed(now, Event::Gone { request: id });
         self.settle(id);
     }
@@ -582,12 +590,12 @@
 
     /// Starts the module with no list known. Guards against a module that waits for its first event while nothing but
     /// that event would make it ask discovery.
-    pub fn begin(&mut self, now: Micros) {
+    pub fn start(&mut self, now: Micros) {
         self.feed(now, Event::Servers { kind: ListKind::Stale, entries: Vec::new() });
     }
 
     /// News of the list of upstreams; those that moved or are gone lose their idle connections.
-    pub fn list(&mut self, now: Micros, kind: ListKind, listed: &[Listed]) {
+    pub fn update_list(&mut self, now: Micros, kind: ListKind, listed: &[DiscoveryEntry]) {
         let (entries, stale) = self.registry.take(kind, listed);
         self.outputs.extend(stale.into_iter().map(|server| Output::CloseIdle { server }));
         self.listed |= kind != ListKind::Failed;
@@ -596,35 +604,35 @@
     }
 
     /// Sends nothing new to an upstream, whatever lists say, until it is put back; false for one that was never listed.
-    pub fn take_out(&mut self, now: Micros, instance: &str) -> bool {
+    pub fn enter_maintenance(&mut self, now: Micros, instance: &str) -> bool {
         let entries = self.registry.take_out(instance);
         self.ordered(now, entries)
     }
 
     /// The same by the word of another process, which has met it.
-    pub fn order_out(&mut self, now: Micros, instance: &str) {
+    pub fn replicate_maintenance(&mut self, now: Micros, instance: &str) {
         let entries = self.registry.order_out(instance);
         self.ordered(now, Some(entries));
     }
 
     /// Ends that; false for one that was never listed.
-    pub fn put_back(&mut self, now: Micros, instance: &str) -> bool {
+    pub fn exit_maintenance(&mut self, now: Micros, instance: &str) -> bool {
         let entries = self.registry.put_back(instance, now);
         self.ordered(now, entries)
     }
 
-    /// Those put back whose start the list has not told; see [`take_returned`](Core::take_returned).
-    pub fn returned(&self) -> Vec<(String, Option<Micros>, Micros)> {
+    /// Those put back whose start the list has not told; see [`import_unconfirmed_restarts`](Core::import_unconfirmed_restarts).
+    pub fn unconfirmed_restarts(&self) -> Vec<(String, Option<Micros>, Micros)> {
         self.registry.returned()
     }
 
     /// Takes over what another process tells of those, before its list.
-    pub fn take_returned(&mut self, returned: Vec<(String, Option<Micros>, Micros)>) {
+    pub fn import_unconfirmed_restarts(&mut self, returned: Vec<(String, Option<Micros>, Micros)>) {
         self.registry.take_returned(returned);
     }
 
     /// Upstreams that are cold, the share of its capacity that each has, and how often picks passed it over.
-    pub fn cold(&self, now: Micros) -> Vec<(String, f64, u64)> {
+    pub fn cold_upstreams(&self, now: Micros) -> Vec<(String, f64, u64)> {
         let named = |(id, share, passed): (ServerId, f64, u64)| {
             Some((self.registry.name(id)?.to_owned(), share, passed))
         };
@@ -705,7 +713,7 @@
     }
 
     /// Goes on with what another process has learned; after its list.
-    pub fn resume(&mut self, now: Micros, mut learned: fs::Learned, zones: Vec<(String, Vec<f64>)>) {
+    pub fn import_learned(&mut self, now: Micros, mut learned: fs::Learned, zones: Vec<(String, Vec<f64>)>) {
         let numbered = |(name, figures): (String, _)| Some((self.registry.zone_number(&name)?, figures));
         learned.zones = zones.into_iter().filter_map(numbered).collect();
         self.balancer.resume(now, &learned);
@@ -717,7 +725,7 @@
     }
 
     /// What another process of this balancer has out from now on; both share each zone's window.
-    pub fn beside(&mut self, now: Micros, others: &[(String, f64)]) {
+    pub fn set_sibling_in_flight(&mut self, now: Micros, others: &[(String, f64)]) {
         let numbered = |(name, n): &(String, f64)| Some((self.registry.zone_number(name)?, *n));
         let others: Vec<_> = others.iter().filter_map(numbered).collect();
         self.balancer.beside(&others);
@@ -733,7 +741,7 @@
     // Time.
 
     /// A probe was answered or not.
-    pub fn probed(
+    pub fn probe_ended(
         &mut self,
         now: Micros,
         server: ServerId,
@@ -745,8 +753,8 @@
     }
 
     /// Rings one timer that is due; false if none is.
-    pub fn ring(&mut self, now: Micros) -> bool {
-        if self.due().is_none_or(|at| at > now) {
+    pub fn fire_timer(&mut self, now: Micros) -> bool {
+        if self.next_timer().is_none_or(|at| at > now) {
             return false;
         }
         match self.timers.pop() {
--- a/engine/src/engine.rs
+++ b/engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! The core between tokio's clock and a [`Wire`]; the only caller of [`Core`] in the daemon. What calls and replies are
+//! The core between tokio's clock and a [`Transport`]; the only caller of [`Core`] in the daemon. What calls and replies are
 //! made of is the business of the wire.
 
 use std::cell::{Cell, RefCell};
@@ -13,27 +13,33 @@
 use tokio::sync::{Notify, oneshot};
 
 use crate::clock::Clock;
-use crate::core::{Arrival, Core, Ended, Output, Stage, Standing};
-use crate::types::{Answer, Asked, Failure, Listed, Target};
+use crate::core::{Arrival, AttemptEnd, Core, Output, RequestStatus, Stage};
+use crate::types::{Answer, DiscoveryEntry, Failure, NewRequest, Target};
 
 /// The sockets, as the engine sees them. No method calls the engine back before it returns.
-pub trait Wire: Sized + 'static {
+pub trait Transport: Sized + 'static {
     /// What a caller asks.
     type Call;
     /// What an upstream answers.
     type Reply;
     /// An attempt under way.
-    type Out;
+    type Attempt;
     /// Starts an attempt; its end is told to the report.
-    fn send(&self, to: Target, call: Rc<Self::Call>, limit: Micros, report: Report<Self>) -> Self::Out;
+    fn send(
+        &self,
+        to: Target,
+        call: Rc<Self::Call>,
+        limit: Micros,
+        report: AttemptReport<Self>,
+    ) -> Self::Attempt;
     /// Ends an attempt by closing its connection; tells whether it may have run.
-    fn abort(&self, out: Self::Out) -> bool;
+    fn abort(&self, out: Self::Attempt) -> bool;
     /// The call's body still comes from its caller: its time counts from the last byte.
-    fn coming(&self, _call: &Self::Call) -> bool {
+    fn body_pending(&self, _call: &Self::Call) -> bool {
         false
     }
     /// A part of such a body is used up: the call cannot be sent again.
-    fn spent(&self, _call: &Self::Call) -> bool {
+    fn body_consumed(&self, _call: &Self::Call) -> bool {
         false
     }
     /// Asks an upstream how it is.
@@ -47,14 +53,14 @@
 }
 
 /// What the core does not hold of an open request.
-struct Held<W: Wire> {
+struct Held<W: Transport> {
     call: Rc<W::Call>,
     answer: Option<oneshot::Sender<Answer<W::Reply>>>,
-    out: Vec<(u32, W::Out)>,
+    out: Vec<(u32, W::Attempt)>,
 }
 
 /// The balancer between its sockets.
-pub struct Engine<W: Wire> {
+pub struct Engine<W: Transport> {
     wire: W,
     clock: Clock,
     core: RefCell<Core<W::Reply>>,
@@ -70,14 +76,14 @@
 }
 
 /// Where an attempt's end is told, once. Dropped untold, as when its task died, it counts as a reset.
-pub struct Report<W: Wire> {
+pub struct AttemptReport<W: Transport> {
     engine: Rc<Engine<W>>,
     request: RequestId,
     attempt: u32,
     told: bool,
 }
 
-impl<W: Wire> Report<W> {
+impl<W: Transport> AttemptReport<W> {
     /// The attempt ended.
     pub fn end(mut self, outcome: Outcome, load: Option<fs::Load>, reply: Option<W::Reply>) {
         self.told = true;
@@ -85,17 +91,17 @@
     }
 
     /// For a body that passes on while it comes.
-    pub fn come(&self) -> Come<W> {
-        Come { engine: self.engine.clone(), request: self.request }
+    pub fn body_receipt(&self) -> BodyReceipt<W> {
+        BodyReceipt { engine: self.engine.clone(), request: self.request }
     }
 
     /// For an answer that begins before the attempt ends.
-    pub fn opening(&self) -> Opening<W> {
-        Opening { engine: self.engine.clone(), request: self.request, attempt: self.attempt }
+    pub fn response_start(&self) -> ResponseStart<W> {
+        ResponseStart { engine: self.engine.clone(), request: self.request, attempt: self.attempt }
     }
 }
 
-impl<W: Wire> Drop for Report<W> {
+impl<W: Transport> Drop for AttemptReport<W> {
     fn drop(&mut self) {
         if !self.told {
             self.engine.ended(self.request, self.attempt, Outcome::Reset, None, None);
@@ -104,44 +110,44 @@
 }
 
 /// Where the beginning of an answer that goes on is told.
-pub struct Opening<W: Wire> {
+pub struct ResponseStart<W: Transport> {
     engine: Rc<Engine<W>>,
     request: RequestId,
     attempt: u32,
 }
 
-impl<W: Wire> Opening<W> {
+impl<W: Transport> ResponseStart<W> {
     /// The caller gets this reply now; its rest is the wire's business, which reports the attempt's end as ever. Where
     /// the caller has left the reply is dropped.
     pub fn begin(self, reply: W::Reply) {
-        let Opening { engine, request, attempt } = self;
-        let unwanted = engine.with(|core, now| core.began(now, request, attempt, reply));
+        let ResponseStart { engine, request, attempt } = self;
+        let unwanted = engine.with(|core, now| core.response_started(now, request, attempt, reply));
         // What is dropped may come back with its end, so nothing is borrowed then.
         drop(unwanted);
     }
 }
 
 /// Where it is told that the last byte of a body has come which an attempt passes on.
-pub struct Come<W: Wire> {
+pub struct BodyReceipt<W: Transport> {
     engine: Rc<Engine<W>>,
     request: RequestId,
 }
 
-impl<W: Wire> Come<W> {
+impl<W: Transport> BodyReceipt<W> {
     /// Now: the time of the request and of its attempt counts from here.
-    pub fn tell(self) {
-        self.engine.with(|core, now| core.has_come(now, self.request));
+    pub fn complete(self) {
+        self.engine.with(|core, now| core.body_received(now, self.request));
     }
 }
 
 /// A caller's hold on its request: dropped before the answer, the client is gone.
-pub struct Asking<W: Wire> {
+pub struct PendingRequest<W: Transport> {
     engine: Rc<Engine<W>>,
     request: RequestId,
     answer: oneshot::Receiver<Answer<W::Reply>>,
 }
 
-impl<W: Wire> Asking<W> {
+impl<W: Transport> PendingRequest<W> {
     /// The final answer.
     pub async fn answer(mut self) -> Answer<W::Reply> {
         (&mut self.answer).await.unwrap_or_else(|_| {
@@ -152,13 +158,13 @@
     }
 }
 
-impl<W: Wire> Drop for Asking<W> {
+impl<W: Transport> Drop for PendingRequest<W> {
     fn drop(&mut self) {
-        self.engine.with(|core, now| core.gone(now, self.request));
+        self.engine.with(|core, now| core.caller_gone(now, self.request));
     }
 }
 
-impl<W: Wire> Engine<W> {
+impl<W: Transport> Engine<W> {
     /// A balancer with the given settings; `zones` holds the numbers that the settings use.
     pub fn new(settings: fs::Settings, zones: &Names, seed: u64, wire: W) -> Result<Rc<Self>, String> {
         Ok(Rc::new(Engine {
@@ -188,12 +194,12 @@
             return;
         }
         loop {
-            let output = self.core.borrow_mut().output();
+            let output = self.core.borrow_mut().next_output();
             let Some(output) = output else { break };
             self.carry_out(output);
         }
         self.acting.set(false);
-        if self.core.borrow().due().is_some_and(|at| at < self.armed.get()) {
+        if self.core.borrow().next_timer().is_some_and(|at| at < self.armed.get()) {
             self.earlier.notify_one();
         }
     }
@@ -202,7 +208,7 @@
         match output {
             Output::Send { request, attempt, to, limit } => {
                 let Some(call) = self.held.borrow().get(&request).map(|h| h.call.clone()) else { return };
-                let report = Report { engine: self.clone(), request, attempt, told: false };
+                let report = AttemptReport { engine: self.clone(), request, attempt, told: false };
                 let out = self.wire.send(to, call, limit, report);
                 if let Some(held) = self.held.borrow_mut().get_mut(&request) {
                     held.out.push((attempt, out));
@@ -211,7 +217,7 @@
             Output::Abort { request, attempt, outcome } => {
                 if let Some(out) = self.take_out_of(request, attempt) {
                     let may_have_run = self.wire.abort(out);
-                    self.with(|core, now| core.aborted(now, request, attempt, outcome, may_have_run));
+                    self.with(|core, now| core.attempt_aborted(now, request, attempt, outcome, may_have_run));
                 }
             }
             Output::Answer { request, answer } => {
@@ -222,7 +228,7 @@
             Output::Settled { request } => {
                 let held = self.held.borrow_mut().remove(&request);
                 drop(held);
-                if self.open() == 0 {
+                if self.open_requests() == 0 {
                     self.settled.notify_waiters();
                 }
             }
@@ -233,7 +239,7 @@
         }
     }
 
-    fn take_out_of(&self, request: RequestId, attempt: u32) -> Option<W::Out> {
+    fn take_out_of(&self, request: RequestId, attempt: u32) -> Option<W::Attempt> {
         let mut held = self.held.borrow_mut();
         let out = &mut held.get_mut(&request)?.out;
         let at = out.iter().position(|(a, _)| *a == attempt)?;
@@ -251,29 +257,29 @@
         reply: Option<W::Reply>,
     ) {
         drop(self.take_out_of(request, attempt));
-        let spent = self.held.borrow().get(&request).is_some_and(|h| self.wire.spent(&h.call));
-        let ended = Ended { outcome, load, reply, spent };
-        self.with(|core, now| core.ended(now, request, attempt, ended));
+        let spent = self.held.borrow().get(&request).is_some_and(|h| self.wire.body_consumed(&h.call));
+        let ended = AttemptEnd { outcome, load, reply, body_consumed: spent };
+        self.with(|core, now| core.attempt_ended(now, request, attempt, ended));
     }
 
     /// Takes a request; the answer comes through what is returned.
-    pub fn ask(self: &Rc<Self>, asked: Asked<W::Call>) -> Asking<W> {
-        let Asked { class, time_left, tenant, work, retry, operation, call } = asked;
+    pub fn submit(self: &Rc<Self>, asked: NewRequest<W::Call>) -> PendingRequest<W> {
+        let NewRequest { class, time_left, tenant, work, retry, operation, call } = asked;
         let (sender, answer) = oneshot::channel();
-        let coming = self.wire.coming(&call);
-        let arrival = Arrival { class, time_left, tenant, work, retry, coming, operation };
-        let request = self.core.borrow_mut().ask(self.clock.now(), arrival);
+        let coming = self.wire.body_pending(&call);
+        let arrival = Arrival { class, time_left, tenant, work, retry, body_pending: coming, operation };
+        let request = self.core.borrow_mut().submit(self.clock.now(), arrival);
         let held = Held { call: Rc::new(call), answer: Some(sender), out: Vec::new() };
         self.held.borrow_mut().insert(request, held);
         self.act();
-        Asking { engine: self.clone(), request, answer }
+        PendingRequest { engine: self.clone(), request, answer }
     }
 
     /// Waits until no request is open.
     pub async fn drained(&self) {
         loop {
             let settled = self.settled.notified();
-            if self.open() == 0 {
+            if self.open_requests() == 0 {
                 return;
             }
             settled.await;
@@ -284,7 +290,7 @@
     pub async fn run(self: Rc<Self>) {
         loop {
             let earlier = self.earlier.notified();
-            let next = self.core.borrow().due();
+            let next = self.core.borrow().next_timer();
             match next {
                 Some(at) if at > self.clock.now() => {
                     self.armed.set(at);
@@ -293,7 +299,7 @@
                         () = earlier => {}
                     }
                 }
-                Some(_) => _ = self.with(|core, now| core.ring(now)),
+                Some(_) => _ = self.with(|core, now| core.fire_timer(now)),
                 None => {
                     self.armed.set(Micros::MAX);
                     earlier.await;
@@ -303,23 +309,23 @@
     }
 
     /// The sockets.
-    pub fn wire(&self) -> &W {
+    pub fn transport(&self) -> &W {
         &self.wire
     }
 
-    /// See [`Core::listed`].
-    pub fn listed(&self) -> bool {
-        self.core.borrow().listed()
+    /// See [`Core::has_list`].
+    pub fn has_list(&self) -> bool {
+        self.core.borrow().has_list()
     }
 
-    /// See [`Core::upstreams`].
-    pub fn upstreams(&self) -> usize {
-        self.core.borrow().upstreams()
+    /// See [`Core::ready_upstreams`].
+    pub fn ready_upstreams(&self) -> usize {
+        self.core.borrow().ready_upstreams()
     }
 
-    /// See [`Core::open`].
-    pub fn open(&self) -> usize {
-        self.core.borrow().open()
+    /// See [`Core::open_requests`].
+    pub fn open_requests(&self) -> usize {
+        self.core.borrow().open_requests()
     }
 
     /// The present time, as it counts.
@@ -327,24 +333,24 @@
         self.clock.now()
     }
 
-    /// See [`Core::met`].
-    pub fn met(&self, instance: &str) -> bool {
-        self.core.borrow().met(instance)
+    /// See [`Core::ever_listed`].
+    pub fn ever_listed(&self, instance: &str) -> bool {
+        self.core.borrow().ever_listed(instance)
     }
 
     /// See [`Core::requests`].
-    pub fn requests(&self, most: usize) -> (BTreeMap<Stage, usize>, Vec<Standing>) {
+    pub fn requests(&self, most: usize) -> (BTreeMap<Stage, usize>, Vec<RequestStatus>) {
         self.core.borrow().requests(self.clock.now(), most)
     }
 
     /// Waits until an upstream carries nothing, for one that is listed; tells how much it carries, first and whenever that
     /// is another number.
-    pub async fn carried(self: Rc<Self>, instance: &str, mut tell: impl FnMut(usize)) {
-        let Some(server) = self.core.borrow().number(instance) else { return };
+    pub async fn watch_in_flight(self: Rc<Self>, instance: &str, mut tell: impl FnMut(usize)) {
+        let Some(server) = self.core.borrow().server_id(instance) else { return };
         let mut last = None;
         loop {
             let ended = self.ended.notified();
-            let carries = self.core.borrow().carries(server);
+            let carries = self.core.borrow().attempts_to(server);
             if last.replace(carries) != Some(carries) {
                 tell(carries);
             }
@@ -355,19 +361,19 @@
         }
     }
 
-    /// See [`Core::uses`].
-    pub fn uses(&self, class: fs::ClassId) -> bool {
-        self.core.borrow().uses(class)
+    /// See [`Core::class_in_use`].
+    pub fn class_in_use(&self, class: fs::ClassId) -> bool {
+        self.core.borrow().class_in_use(class)
     }
 
-    /// See [`Core::cold`].
-    pub fn cold(&self) -> Vec<(String, f64, u64)> {
-        self.core.borrow().cold(self.clock.now())
+    /// See [`Core::cold_upstreams`].
+    pub fn cold_upstreams(&self) -> Vec<(String, f64, u64)> {
+        self.core.borrow().cold_upstreams(self.clock.now())
     }
 
-    /// See [`Core::list_held`].
-    pub fn list_held(&self) -> Option<Vec<Listed>> {
-        self.core.borrow().list_held()
+    /// See [`Core::current_list`].
+    pub fn current_list(&self) -> Option<Vec<DiscoveryEntry>> {
+        self.core.borrow().current_list()
     }
 
     /// See [`Core::reconfigure`].
@@ -375,9 +381,9 @@
         self.core.borrow_mut().reconfigure(settings, learned)
     }
 
-    /// See [`Core::end_for_gone`].
-    pub fn end_for_gone(&self) {
-        self.core.borrow_mut().end_for_gone();
+    /// See [`Core::cancel_on_disconnect`].
+    pub fn cancel_on_disconnect(&self) {
+        self.core.borrow_mut().cancel_on_disconnect();
     }
 
     /// See [`Core::refuse_unsent`].
@@ -385,49 +391,49 @@
         self.core.borrow_mut().refuse_unsent();
     }
 
-    /// See [`Core::set_cutting`].
-    pub fn set_cutting(&self, cuts: bool) {
-        self.core.borrow_mut().set_cutting(cuts);
+    /// See [`Core::set_cancellation`].
+    pub fn set_cancellation(&self, cuts: bool) {
+        self.core.borrow_mut().set_cancellation(cuts);
     }
 
-    /// See [`Core::begin`].
-    pub fn begin(self: &Rc<Self>) {
-        self.with(Core::begin);
+    /// See [`Core::start`].
+    pub fn start(self: &Rc<Self>) {
+        self.with(Core::start);
     }
 
-    /// See [`Core::list`].
-    pub fn list(self: &Rc<Self>, kind: ListKind, listed: Vec<Listed>) {
-        self.with(|core, now| core.list(now, kind, &listed));
+    /// See [`Core::update_list`].
+    pub fn update_list(self: &Rc<Self>, kind: ListKind, listed: Vec<DiscoveryEntry>) {
+        self.with(|core, now| core.update_list(now, kind, &listed));
     }
 
-    /// See [`Core::take_out`].
-    pub fn take_out(self: &Rc<Self>, instance: &str) -> bool {
-        self.with(|core, now| core.take_out(now, instance))
+    /// See [`Core::enter_maintenance`].
+    pub fn enter_maintenance(self: &Rc<Self>, instance: &str) -> bool {
+        self.with(|core, now| core.enter_maintenance(now, instance))
     }
 
-    /// See [`Core::order_out`].
-    pub fn order_out(self: &Rc<Self>, instance: &str) {
-        self.with(|core, now| core.order_out(now, instance));
+    /// See [`Core::replicate_maintenance`].
+    pub fn replicate_maintenance(self: &Rc<Self>, instance: &str) {
+        self.with(|core, now| core.replicate_maintenance(now, instance));
     }
 
-    /// See [`Core::put_back`].
-    pub fn put_back(self: &Rc<Self>, instance: &str) -> bool {
-        self.with(|core, now| core.put_back(now, instance))
+    /// See [`Core::exit_maintenance`].
+    pub fn exit_maintenance(self: &Rc<Self>, instance: &str) -> bool {
+        self.with(|core, now| core.exit_maintenance(now, instance))
     }
 
-    /// See [`Core::returned`].
-    pub fn returned(&self) -> Vec<(String, Option<Micros>, Micros)> {
-        self.core.borrow().returned()
+    /// See [`Core::unconfirmed_restarts`].
+    pub fn unconfirmed_restarts(&self) -> Vec<(String, Option<Micros>, Micros)> {
+        self.core.borrow().unconfirmed_restarts()
     }
 
-    /// See [`Core::take_returned`].
-    pub fn take_returned(&self, returned: Vec<(String, Option<Micros>, Micros)>) {
-        self.core.borrow_mut().take_returned(returned);
+    /// See [`Core::import_unconfirmed_restarts`].
+    pub fn import_unconfirmed_restarts(&self, returned: Vec<(String, Option<Micros>, Micros)>) {
+        self.core.borrow_mut().import_unconfirmed_restarts(returned);
     }
 
-    /// See [`Core::narrow`].
-    pub fn narrow(self: &Rc<Self>, operation: u64) {
-        self.with(|core, now| core.narrow(now, operation));
+    /// See [`Core::forbid_retry`].
+    pub fn forbid_retry(self: &Rc<Self>, operation: u64) {
+        self.with(|core, now| core.forbid_retry(now, operation));
     }
 
     /// See [`Core::learned`].
@@ -435,9 +441,9 @@
         self.core.borrow().learned()
     }
 
-    /// See [`Core::resume`].
-    pub fn resume(self: &Rc<Self>, learned: fs::Learned, zones: Vec<(String, Vec<f64>)>) {
-        self.with(|core, now| core.resume(now, learned, zones));
+    /// See [`Core::import_learned`].
+    pub fn import_learned(self: &Rc<Self>, learned: fs::Learned, zones: Vec<(String, Vec<f64>)>) {
+        self.with(|core, now| core.import_learned(now, learned, zones));
     }
 
     /// See [`Core::in_flight`].
@@ -445,20 +451,20 @@
         self.core.borrow().in_flight()
     }
 
-    /// See [`Core::beside`].
-    pub fn beside(self: &Rc<Self>, others: &[(String, f64)]) {
-        self.with(|core, now| core.beside(now, others));
+    /// See [`Core::set_sibling_in_flight`].
+    pub fn set_sibling_in_flight(self: &Rc<Self>, others: &[(String, f64)]) {
+        self.with(|core, now| core.set_sibling_in_flight(now, others));
     }
 
     /// A probe was answered or not.
-    pub fn probed(
+    pub fn probe_ended(
         self: &Rc<Self>,
         server: ServerId,
         took: Duration,
         outcome: Outcome,
         load: Option<fs::Load>,
     ) {
-        self.with(|core, now| core.probed(now, server, took.as_micros() as Micros, outcome, load));
+        self.with(|core, now| core.probe_ended(now, server, took.as_micros() as Micros, outcome, load));
     }
 }
 
--- a/engine/src/engine/tests.rs
+++ b/engine/src/engine/tests.rs
@@ -9,28 +9,28 @@
 /// Keeps what is sent; an abort says whether the attempt may have run as the test wants.
 #[derive(Clone, Default)]
 struct Fake {
-    sent: Rc<RefCell<Vec<Report<Fake>>>>,
+    sent: Rc<RefCell<Vec<AttemptReport<Fake>>>>,
     aborted: Rc<Cell<u32>>,
     ran: Rc<Cell<bool>>,
     coming: Rc<Cell<bool>>,
     spent: Rc<Cell<bool>>,
 }
 
-impl Wire for Fake {
+impl Transport for Fake {
     type Call = ();
     type Reply = u32;
-    type Out = ();
-    fn send(&self, _: Target, _: Rc<()>, _: Micros, report: Report<Self>) {
+    type Attempt = ();
+    fn send(&self, _: Target, _: Rc<()>, _: Micros, report: AttemptReport<Self>) {
         self.sent.borrow_mut().push(report);
     }
     fn abort(&self, _: ()) -> bool {
         self.aborted.set(self.aborted.get() + 1);
         self.ran.get()
     }
-    fn coming(&self, _: &()) -> bool {
+    fn body_pending(&self, _: &()) -> bool {
         self.coming.get()
     }
-    fn spent(&self, _: &()) -> bool {
+    fn body_consumed(&self, _: &()) -> bool {
         self.spent.get()
     }
     fn probe(&self, _: &Rc<Engine<Self>>, _: Target) {}
@@ -40,7 +40,7 @@
 }
 
 impl Fake {
-    fn take(&self) -> Report<Fake> {
+    fn take(&self) -> AttemptReport<Fake> {
         self.sent.borrow_mut().pop().expect("an attempt")
     }
 }
@@ -59,7 +59,7 @@
     let mut settings = fs::Settings::new(vec![class]);
     settings.limits.cancel = true;
     let engine = Engine::new(settings, &Names::default(), 1, fake.clone()).expect("good settings");
-    let listed = Listed {
+    let listed = DiscoveryEntry {
         instance: "s-1".to_owned(),
         address: SocketAddr::from(([127, 0, 0, 1], 1)),
         zone: "a".to_owned(),
@@ -69,12 +69,12 @@
         weight: 1.0,
         started: None,
     };
-    engine.list(ListKind::Complete, vec![listed]);
+    engine.update_list(ListKind::Complete, vec![listed]);
     engine
 }
 
-fn asked(time_left: Micros) -> Asked<()> {
-    Asked { class: 0, time_left, tenant: None, work: None, retry: false, operation: None, call: () }
+fn asked(time_left: Micros) -> NewRequest<()> {
+    NewRequest { class: 0, time_left, tenant: None, work: None, retry: false, operation: None, call: () }
 }
 
 /// On a paused clock, with the timers running.
@@ -97,31 +97,31 @@
 fn an_attempt_out_of_time_is_ended_once_and_its_late_end_is_no_news() {
     with(async |fake, engine| {
         fake.ran.set(true);
-        let asking = engine.ask(asked(1_000_000));
+        let asking = engine.submit(asked(1_000_000));
         let late = fake.take();
         let start = Instant::now();
-        assert_eq!(asking.answer().await, Answer::Failed(Failure::Time));
+        assert_eq!(asking.answer().await, Answer::Failed(Failure::DeadlineExceeded));
         assert!(start.elapsed() < Duration::from_secs(1), "after the client's time");
         assert_eq!(fake.aborted.get(), 1);
         late.end(Outcome::Ok, None, Some(7));
-        assert!(engine.open() == 0 && fake.sent.borrow().is_empty());
+        assert!(engine.open_requests() == 0 && fake.sent.borrow().is_empty());
     });
 }
 
 #[test]
 fn an_answer_that_has_begun_has_no_limit_and_its_end_is_told() {
     with(async |fake, engine| {
-        let asking = engine.ask(asked(1_000_000));
+        let asking = engine.submit(asked(1_000_000));
         let report = fake.take();
-        report.opening().begin(7);
+        report.response_start().begin(7);
         assert_eq!(asking.answer().await, Answer::Served(7));
         // Long after its client's time it is neither aborted nor forgotten.
         tokio::time::sleep(Duration::from_secs(20)).await;
-        assert_eq!((fake.aborted.get(), engine.open()), (0, 1));
+        assert_eq!((fake.aborted.get(), engine.open_requests()), (0, 1));
         report.end(Outcome::Ok, None, None);
-        assert_eq!(engine.open(), 0);
+        assert_eq!(engine.open_requests(), 0);
         // Its place is free: as many as before go out.
-        let again = engine.ask(asked(1_000_000));
+        let again = engine.submit(asked(1_000_000));
         fake.take().end(Outcome::Ok, None, Some(8));
         assert_eq!(again.answer().await, Answer::Served(8));
     });
@@ -130,19 +130,19 @@
 #[test]
 fn an_answer_that_begins_when_its_client_has_left_goes_nowhere() {
     with(async |fake, engine| {
-        let asking = engine.ask(asked(1_000_000));
+        let asking = engine.submit(asked(1_000_000));
         let report = fake.take();
         drop(asking);
-        report.opening().begin(7);
+        report.response_start().begin(7);
         report.end(Outcome::Cancelled, None, None);
-        assert_eq!((engine.open(), fake.sent.borrow().len()), (0, 0));
+        assert_eq!((engine.open_requests(), fake.sent.borrow().len()), (0, 0));
     });
 }
 
 #[test]
 fn an_attempt_that_was_never_written_lets_an_unsafe_request_go_out_again() {
     with(async |fake, engine| {
-        let asking = engine.ask(asked(1_000_000));
+        let asking = engine.submit(asked(1_000_000));
         let id = asking.request;
         let _first = fake.take();
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -156,38 +156,38 @@
 #[test]
 fn an_attempt_whose_task_died_is_a_reset() {
     with(async |fake, engine| {
-        let asking = engine.ask(asked(1_000_000));
+        let asking = engine.submit(asked(1_000_000));
         drop(fake.take());
         assert_eq!(asking.answer().await, Answer::Failed(Failure::Upstream));
-        assert!(engine.open() == 0 && fake.sent.borrow().is_empty());
+        assert!(engine.open_requests() == 0 && fake.sent.borrow().is_empty());
     });
 }
 
 #[test]
 fn a_silent_module_does_not_keep_a_client_waiting() {
     with(async |fake, engine| {
-        engine.list(ListKind::Complete, Vec::new());
-        let asking = engine.ask(asked(1_000_000));
+        engine.update_list(ListKind::Complete, Vec::new());
+        let asking = engine.submit(asked(1_000_000));
         // Without its timers the module never looks at what it holds.
         engine.core.borrow_mut().silence();
         let start = Instant::now();
-        assert_eq!(asking.answer().await, Answer::Failed(Failure::Time));
+        assert_eq!(asking.answer().await, Answer::Failed(Failure::DeadlineExceeded));
         assert!(start.elapsed() < Duration::from_secs(1), "after the client's time");
-        assert!(engine.open() == 0 && fake.sent.borrow().is_empty());
+        assert!(engine.open_requests() == 0 && fake.sent.borrow().is_empty());
     });
 }
 
 #[test]
 fn no_second_attempt_beside_one_that_is_out_and_none_after_the_answer() {
     with(async |fake, engine| {
-        let asking = engine.ask(asked(1_000_000));
+        let asking = engine.submit(asked(1_000_000));
         let id = asking.request;
         engine.with(|core, now| core.send(now, id, 0, 0));
         assert_eq!(fake.sent.borrow().len(), 1);
         fake.take().end(Outcome::Ok, None, Some(5));
         engine.with(|core, now| core.send(now, id, 0, 0));
         assert_eq!(asking.answer().await, Answer::Served(5));
-        assert!(fake.sent.borrow().is_empty() && engine.open() == 0);
+        assert!(fake.sent.borrow().is_empty() && engine.open_requests() == 0);
     });
 }
 
@@ -195,7 +195,7 @@
 fn timers_of_answered_requests_do_not_pile_up() {
     with(async |fake, engine| {
         for _ in 0..10 * LEAST_TIMERS {
-            let asking = engine.ask(asked(4_000_000));
+            let asking = engine.submit(asked(4_000_000));
             fake.take().end(Outcome::Ok, None, Some(5));
             assert_eq!(asking.answer().await, Answer::Served(5));
         }
@@ -206,10 +206,10 @@
 #[test]
 fn a_client_that_left_is_forgotten_when_its_attempt_ends() {
     with(async |fake, engine| {
-        drop(engine.ask(asked(1_000_000)));
-        assert_eq!(engine.open(), 1);
+        drop(engine.submit(asked(1_000_000)));
+        assert_eq!(engine.open_requests(), 1);
         fake.take().end(Outcome::Reset, None, None);
-        assert!(engine.open() == 0 && fake.sent.borrow().is_empty());
+        assert!(engine.open_requests() == 0 && fake.sent.borrow().is_empty());
     });
 }
 
@@ -218,17 +218,17 @@
 fn the_time_of_a_body_that_passes_counts_from_its_last_byte() {
     with(async |fake, engine| {
         fake.coming.set(true);
-        let asking = engine.ask(asked(4_000_000));
+        let asking = engine.submit(asked(4_000_000));
         let report = fake.take();
-        let come = report.come();
+        let come = report.body_receipt();
         let start = Instant::now();
         let answer = spawn_local(asking.answer());
         // Far longer than the deadline; nothing ends it.
         tokio::time::sleep(Duration::from_secs(20)).await;
-        assert!(!answer.is_finished() && engine.open() == 1 && fake.aborted.get() == 0);
+        assert!(!answer.is_finished() && engine.open_requests() == 1 && fake.aborted.get() == 0);
         fake.ran.set(true);
-        come.tell();
-        assert_eq!(answer.await.expect("it ends"), Answer::Failed(Failure::Time));
+        come.complete();
+        assert_eq!(answer.await.expect("it ends"), Answer::Failed(Failure::DeadlineExceeded));
         let took = start.elapsed() - Duration::from_secs(20);
         assert!(took > Duration::from_secs(3) && took <= Duration::from_secs(4), "{took:?}");
         assert_eq!(fake.aborted.get(), 1);
@@ -246,17 +246,17 @@
     ] {
         with(async |fake, engine| {
             fake.coming.set(true);
-            let asking = engine.ask(asked(4_000_000));
+            let asking = engine.submit(asked(4_000_000));
             fake.spent.set(true);
             fake.take().end(outcome, None, None);
             assert_eq!(asking.answer().await, expected, "{outcome:?}");
-            assert!(fake.sent.borrow().is_empty() && engine.open() == 0);
+            assert!(fake.sent.borrow().is_empty() && engine.open_requests() == 0);
         });
     }
     // Untouched it goes out again.
     with(async |fake, engine| {
         fake.coming.set(true);
-        let asking = engine.ask(asked(4_000_000));
+        let asking = engine.submit(asked(4_000_000));
         fake.take().end(Outcome::ConnectFailed, None, None);
         while fake.sent.borrow().is_empty() {
             tokio::time::sleep(Duration::from_millis(1)).await;
@@ -289,10 +289,10 @@
         with(async |fake, _| {
             let engine = engine_of(&fake, fs::Effect::Safe);
             spawn_local(engine.clone().run());
-            let asking = engine.ask(Asked { operation: Some(3), ..asked(4_000_000) });
+            let asking = engine.submit(NewRequest { operation: Some(3), ..asked(4_000_000) });
             match narrowed {
-                Narrowed::Out => engine.narrow(3),
-                Narrowed::Another => engine.narrow(4),
+                Narrowed::Out => engine.forbid_retry(3),
+                Narrowed::Another => engine.forbid_retry(4),
                 _ => {}
             }
             for outcome in outcomes {
@@ -303,12 +303,16 @@
                 fake.take().end(*outcome, None, (*outcome == Ok).then_some(7));
                 if narrowed == Narrowed::Between {
                     assert!(fake.sent.borrow().is_empty(), "it is out again at once");
-                    engine.narrow(3);
+                    engine.forbid_retry(3);
                 }
             }
             assert_eq!(asking.answer().await, answer, "{narrowed:?}, {outcomes:?}");
             tokio::time::sleep(Duration::from_secs(10)).await;
-            assert_eq!((fake.sent.borrow().len(), engine.open()), (0, 0), "{narrowed:?}, {outcomes:?}");
+            assert_eq!(
+                (fake.sent.borrow().len(), engine.open_requests()),
+                (0, 0),
+                "{narrowed:?}, {outcomes:?}"
+            );
         });
     }
 }
@@ -317,17 +321,17 @@
 fn a_caller_that_leaves_within_its_body_ends_the_attempt() {
     with(async |fake, engine| {
         fake.coming.set(true);
-        let asking = engine.ask(asked(4_000_000));
+        let asking = engine.submit(asked(4_000_000));
         let _report = fake.take();
         drop(asking);
-        assert_eq!((fake.aborted.get(), engine.open()), (1, 0));
+        assert_eq!((fake.aborted.get(), engine.open_requests()), (1, 0));
     });
 }
 
 /// Answers many requests within a millisecond, so that the module bounds the next attempt by far less than its time left.
 async fn teach(fake: &Fake, engine: &Rc<Engine<Fake>>) {
     for _ in 0..200 {
-        let asking = engine.ask(asked(4_000_000));
+        let asking = engine.submit(asked(4_000_000));
         tokio::time::advance(Duration::from_millis(1)).await;
         fake.take().end(Outcome::Ok, None, Some(1));
         assert_eq!(asking.answer().await, Answer::Served(1));
@@ -340,16 +344,16 @@
         with(async move |fake, engine| {
             fake.ran.set(true);
             teach(&fake, &engine).await;
-            let asking = engine.ask(asked(4_000_000));
+            let asking = engine.submit(asked(4_000_000));
             let out = fake.take();
             if stops {
-                engine.set_cutting(false);
+                engine.set_cancellation(false);
             }
             tokio::time::sleep(Duration::from_millis(3900)).await;
             // Without the order the attempt is over by now: its limit was a few of the usual milliseconds.
             assert_eq!(fake.aborted.get(), u32::from(!stops));
             out.end(Outcome::Ok, None, Some(9));
-            let expected = if stops { Answer::Served(9) } else { Answer::Failed(Failure::Time) };
+            let expected = if stops { Answer::Served(9) } else { Answer::Failed(Failure::DeadlineExceeded) };
             assert_eq!(asking.answer().await, expected);
         });
     }
@@ -361,13 +365,13 @@
         fake.ran.set(true);
         teach(&fake, &engine).await;
         // An attempt that was kept for long would teach the module longer limits: only the switch is looked at here.
-        engine.set_cutting(false);
-        engine.set_cutting(true);
-        let cut = engine.ask(asked(4_000_000));
+        engine.set_cancellation(false);
+        engine.set_cancellation(true);
+        let cut = engine.submit(asked(4_000_000));
         let _out = fake.take();
         tokio::time::sleep(Duration::from_millis(3900)).await;
         assert_eq!(fake.aborted.get(), 1);
-        assert_eq!(cut.answer().await, Answer::Failed(Failure::Time));
+        assert_eq!(cut.answer().await, Answer::Failed(Failure::DeadlineExceeded));
     });
 }
 
@@ -380,10 +384,10 @@
         (fs::Effect::Unsafe, false),
     ] {
         with_effect(effect, async move |fake, engine| {
-            engine.end_for_gone();
+            engine.cancel_on_disconnect();
             teach(&fake, &engine).await;
-            engine.set_cutting(cuts);
-            let left = engine.ask(asked(4_000_000));
+            engine.set_cancellation(cuts);
+            let left = engine.submit(asked(4_000_000));
             let _out = fake.take();
             drop(left);
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -406,8 +410,8 @@
             }
             teach(&fake, &engine).await;
             // So that the attempt is still out when too little time is left for another, or for a new try of the client's.
-            engine.set_cutting(false);
-            let asking = engine.ask(asked(300_000));
+            engine.set_cancellation(false);
+            let asking = engine.submit(asked(300_000));
             tokio::time::sleep(Duration::from_micros(289_700)).await;
             fake.take().end(outcome, None, None);
             let answer = asking.answer().await;
@@ -425,7 +429,7 @@
         (Outcome::Reset, Some(500), Answer::Failed(Failure::Upstream)),
     ] {
         with(async move |fake, engine| {
-            let asking = engine.ask(asked(1_000_000));
+            let asking = engine.submit(asked(1_000_000));
             fake.take().end(outcome, None, reply);
             assert_eq!(asking.answer().await, expected);
         });
--- a/engine/src/lib.rs
+++ b/engine/src/lib.rs
@@ -1,5 +1,5 @@
 //! The engine: the decision module with its open requests and timers. [`core`] is that without I/O and without a clock;
-//! [`engine`] drives it by tokio's, over a [`Wire`](engine::Wire) that knows the protocol. No sockets here.
+//! [`engine`] drives it by tokio's, over a [`Transport`](engine::Transport) that knows the protocol. No sockets here.
 
 pub mod clock;
 pub mod core;
--- a/engine/src/registry.rs
+++ b/engine/src/registry.rs
@@ -5,7 +5,7 @@
 use sloeline_settings::setup::{Names, ring};
 use std::collections::{HashMap, HashSet};
 
-use crate::types::{Listed, Target};
+use crate::types::{DiscoveryEntry, Target};
 
 /// Numbers for names, never given twice: what still holds the number of one that is gone can't mistake another
 /// for it, and one that comes back begins anew, with no breaker and no count.
@@ -53,7 +53,7 @@
 
 /// An upstream as it was listed, and which zone and kind it was given.
 struct Place {
-    listed: Listed,
+    listed: DiscoveryEntry,
     /// What the module is told of it.
     state: ServerState,
     zone: u32,
@@ -94,7 +94,7 @@
     }
 
     /// The list as it was told, without those that are gone.
-    pub fn listed(&self) -> Vec<Listed> {
+    pub fn listed(&self) -> Vec<DiscoveryEntry> {
         self.places.values().map(|p| p.listed.clone()).collect()
     }
 
@@ -156,7 +156,7 @@
     }
 
     /// What orders make of an entry.
-    fn ordered(&mut self, l: &Listed) -> (ServerState, Option<Micros>) {
+    fn ordered(&mut self, l: &DiscoveryEntry) -> (ServerState, Option<Micros>) {
         let state = match l.state {
             ServerState::Ready if self.out.contains_key(&l.instance) => ServerState::Draining,
             other => other,
@@ -240,7 +240,11 @@
 
     /// Takes a list over: its entries for the module, and those that moved or are gone. News of a few cost what
     /// these few do.
-    pub fn take(&mut self, kind: ListKind, listed: &[Listed]) -> (Vec<fs::ServerEntry>, Vec<ServerId>) {
+    pub fn take(
+        &mut self,
+        kind: ListKind,
+        listed: &[DiscoveryEntry],
+    ) -> (Vec<fs::ServerEntry>, Vec<ServerId>) {
         let (mut entries, mut left) = (Vec::with_capacity(listed.len()), Vec::new());
         let whole = matches!(kind, ListKind::Complete | ListKind::Stale);
         let mut named = HashSet::new();
@@ -300,8 +304,8 @@
 
     use super::*;
 
-    fn listed(instance: &str, port: u16, state: ServerState) -> Listed {
-        Listed {
+    fn listed(instance: &str, port: u16, state: ServerState) -> DiscoveryEntry {
+        DiscoveryEntry {
             instance: instance.to_owned(),
             address: SocketAddr::from(([127, 0, 0, 1], port)),
             zone: format!("z-{instance}"),
@@ -350,10 +354,10 @@
         println!("SEED={seed}");
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut registry = Registry::new(&Names::default());
-        let mut model: std::collections::BTreeMap<String, Listed> = Default::default();
+        let mut model: std::collections::BTreeMap<String, DiscoveryEntry> = Default::default();
         for _ in 0..3000 {
             let whole = rng.u8(..8) == 0;
-            let news: Vec<Listed> = (0..rng.usize(..4))
+            let news: Vec<DiscoveryEntry> = (0..rng.usize(..4))
                 .map(|_| {
                     let state =
                         [ServerState::Ready, ServerState::Draining, ServerState::Gone][rng.usize(..3)];
@@ -372,7 +376,7 @@
                 };
             }
             registry.take(if whole { ListKind::Complete } else { ListKind::Changes }, &news);
-            let set = |of: fn(&Listed) -> &String| model.values().map(of).collect::<HashSet<_>>();
+            let set = |of: fn(&DiscoveryEntry) -> &String| model.values().map(of).collect::<HashSet<_>>();
             let names = |numbers: &Numbers| numbers.by_name.len();
             assert_eq!(registry.ready(), model.values().filter(|l| l.state == ServerState::Ready).count());
             assert_eq!((registry.servers.len(), registry.places.len()), (model.len(), model.len()));
@@ -400,7 +404,7 @@
     fn what_is_out_stays_out_whatever_lists_say_and_comes_back_cold() {
         const READY: ServerState = ServerState::Ready;
         let mut registry = Registry::new(&Names::default());
-        let told = |state, started| Listed { started, ..listed("a", 80, state) };
+        let told = |state, started| DiscoveryEntry { started, ..listed("a", 80, state) };
         assert_eq!(registry.take_out("a"), None);
         assert_eq!(registry.put_back("a", 1), None);
         registry.take(ListKind::Complete, &[told(READY, Some(5))]);
@@ -453,7 +457,7 @@
     #[test]
     fn a_successor_knows_what_is_out_and_what_came_back() {
         const READY: ServerState = ServerState::Ready;
-        let told = |started| vec![Listed { started, ..listed("a", 80, READY) }];
+        let told = |started| vec![DiscoveryEntry { started, ..listed("a", 80, READY) }];
         let mut old = Registry::new(&Names::default());
         old.take(ListKind::Complete, &told(Some(5)));
         old.take_out("a").expect("listed");
--- a/engine/src/slots.rs
+++ b/engine/src/slots.rs
@@ -7,7 +7,7 @@
 
 /// A numbered class.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Slot {
+pub struct ClassSlot {
     /// Its name in the configuration.
     pub name: String,
     /// Its definition.
@@ -16,17 +16,17 @@
 
 /// Numbers for new configurations.
 #[derive(Debug, PartialEq)]
-pub struct Assigned {
+pub struct Assignment {
     /// All slots, those of classes that are no more among them.
-    pub slots: Vec<Slot>,
+    pub slots: Vec<ClassSlot>,
     /// For each slot, the old one whose latencies it begins with.
-    pub learned: Vec<Option<ClassId>>,
+    pub inherited: Vec<Option<ClassId>>,
     /// For each wanted class, its slot.
-    pub numbers: Vec<ClassId>,
+    pub class_ids: Vec<ClassId>,
 }
 
 /// Gives each wanted class a slot; `in_use` tells whether a request of an old slot is open.
-pub fn assign(old: &[Slot], wanted: &[Slot], in_use: impl Fn(ClassId) -> bool) -> Assigned {
+pub fn assign(old: &[ClassSlot], wanted: &[ClassSlot], in_use: impl Fn(ClassId) -> bool) -> Assignment {
     let mut slots = old.to_vec();
     let mut learned: Vec<Option<ClassId>> = (0..old.len()).map(Some).collect();
     let mut taken = vec![false; old.len()];
@@ -58,7 +58,7 @@
         slots.pop();
         learned.pop();
     }
-    Assigned { slots, learned, numbers }
+    Assignment { slots, inherited: learned, class_ids: numbers }
 }
 
 #[cfg(test)]
@@ -66,10 +66,10 @@
     use super::*;
     use finchshift::Effect;
 
-    fn slot(name: &str, effect: Effect, deadline: u64) -> Slot {
+    fn slot(name: &str, effect: Effect, deadline: u64) -> ClassSlot {
         let class =
             Class { effect, aim: 1, aim_stretch: 0.0, deadline, worth: 1.0, late_worth: 0.0, stream: false };
-        Slot { name: name.to_owned(), class }
+        ClassSlot { name: name.to_owned(), class }
     }
 
     const SAFE: Effect = Effect::Safe;
@@ -78,7 +78,7 @@
     fn what_stays_keeps_its_number_whatever_the_order() {
         let (a, b, c) = (slot("a", SAFE, 1), slot("b", SAFE, 1), slot("c", SAFE, 1));
         let got = assign(&[a.clone(), b.clone()], &[c.clone(), b.clone(), a.clone()], |_| true);
-        assert_eq!((got.numbers, got.learned), (vec![2, 1, 0], vec![Some(0), Some(1), None]));
+        assert_eq!((got.class_ids, got.inherited), (vec![2, 1, 0], vec![Some(0), Some(1), None]));
         assert_eq!(got.slots, [a, b, c]);
     }
 
@@ -88,10 +88,10 @@
         let got = assign(std::slice::from_ref(&old), std::slice::from_ref(&new), |at| at == 0);
         assert_eq!(got.slots, [old.clone(), new.clone()]);
         // It begins with what the old one learned.
-        assert_eq!((got.numbers, got.learned), (vec![1], vec![Some(0), Some(0)]));
+        assert_eq!((got.class_ids, got.inherited), (vec![1], vec![Some(0), Some(0)]));
         // And with none open the number is used again.
         let got = assign(&[old], std::slice::from_ref(&new), |_| false);
-        assert_eq!((got.slots, got.numbers, got.learned), (vec![new], vec![0], vec![Some(0)]));
+        assert_eq!((got.slots, got.class_ids, got.inherited), (vec![new], vec![0], vec![Some(0)]));
     }
 
     #[test]
@@ -102,7 +102,7 @@
             let last = slots.len() - 1;
             let got = assign(&slots, &[slot("a", SAFE, round)], |at| at == last);
             assert!(got.slots.len() <= 2, "{}", got.slots.len());
-            assert_eq!(got.slots[got.numbers[0]].class.deadline, round);
+            assert_eq!(got.slots[got.class_ids[0]].class.deadline, round);
             slots = got.slots;
         }
     }
--- a/engine/src/types.rs
+++ b/engine/src/types.rs
@@ -16,7 +16,7 @@
 
 /// An entry of a list, as discovery words it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct DiscoveryEntry {
     /// The same at every balancer.
     pub instance: String,
     /// Its address at this balancer.
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Failure {
     /// The time ran out.
-    Time,
+    DeadlineExceeded,
     /// An upstream failed.
     Upstream,
 }
@@ -59,7 +59,7 @@
 }
 
 /// A request as the engine takes it.
-pub struct Asked<C> {
+pub struct NewRequest<C> {
     /// Its class.
     pub class: fs::ClassId,
     /// How long its client waits, from now.
--- a/http/src/callers.rs
+++ b/http/src/callers.rs
@@ -17,9 +17,9 @@
 use http_body_util::BodyExt;
 use hyper::header::{CONNECTION, CONTENT_LENGTH, HeaderValue, RETRY_AFTER};
 use hyper::{Method, Request, Response, StatusCode, body::Body, body::Incoming, server::conn::http1};
-use sloeline_engine::engine::Wire;
-use sloeline_engine::types::{Answer, Asked, Failure};
-use sloeline_limits::Taken;
+use sloeline_engine::engine::Transport;
+use sloeline_engine::types::{Answer, Failure, NewRequest};
+use sloeline_limits::Permit;
 use sloeline_operations::presence::Posture;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -374,7 +374,7 @@
             Err(answer) => return answer,
         };
         // What it holds of the memory for bodies: a place for its answer, and its own body as far as it has come.
-        let Some(room) = admission.bodies.take(admission.most_answer) else {
+        let Some(room) = admission.bodies.acquire(admission.most_answer) else {
             return self.refused(0, "no room");
         };
         let mut upload = None;
@@ -410,12 +410,12 @@
         let call = Call { method, uri, headers, body };
         let operation = witness.as_ref().map(|witness| witness.operation());
         let asked = Instant::now();
-        let asking = engine.ask(Asked { class, time_left, tenant, work, retry, operation, call });
+        let asking = engine.submit(NewRequest { class, time_left, tenant, work, retry, operation, call });
         // Guards against the kill too: what is still open by then fails, and its caller hears so.
         let answer = tokio::select! {
             biased;
             answer = asking.answer() => answer,
-            () = self.leave.notified() => Answer::Failed(Failure::Time),
+            () = self.leave.notified() => Answer::Failed(Failure::DeadlineExceeded),
         };
         match answer {
             Answer::Served(mut reply) => {
@@ -441,7 +441,7 @@
                 plain(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large or broke off")
             }
             Answer::Refused { retry_after } => self.refused(retry_after, "refused"),
-            Answer::Failed(Failure::Time) => plain(StatusCode::GATEWAY_TIMEOUT, "out of time"),
+            Answer::Failed(Failure::DeadlineExceeded) => plain(StatusCode::GATEWAY_TIMEOUT, "out of time"),
             Answer::Failed(Failure::Upstream) => plain(StatusCode::BAD_GATEWAY, "upstream failed"),
         }
     }
@@ -459,14 +459,14 @@
 /// A body as far as it was read.
 enum Come {
     /// All of it, and its memory.
-    Whole(Bytes, Vec<Taken>),
+    Whole(Bytes, Vec<Permit>),
     /// There is no memory for the rest: it passes on.
     Passing(Rc<Upload>),
 }
 
 /// Reads a body whole, if there is memory for it; the request's clock starts when this is done. Memory is taken as it
 /// comes, so that a length that is only claimed costs nothing. The error is for the caller.
-async fn read<W: Wire>(
+async fn read<W: Transport>(
     mut body: Incoming,
     admission: &Admission<W>,
 ) -> Result<Come, (StatusCode, &'static str)> {
@@ -491,8 +491,8 @@
             // Twice as much each time, as the buffer grows, and no more than is told.
             let more = if exact > 0 { exact.min(2 * length) } else { 2 * length }.max(length) - reserved;
             // Guards the others: as with shares of a reserve, one body leaves free as much as it has itself.
-            let modest = reserved + more <= HELD || admission.bodies.left() >= reserved + 2 * more;
-            let Some(taken) = admission.bodies.take(more).filter(|_| modest) else {
+            let modest = reserved + more <= HELD || admission.bodies.available() >= reserved + 2 * more;
+            let Some(taken) = admission.bodies.acquire(more).filter(|_| modest) else {
                 whole.extend_from_slice(&data);
                 return Ok(Come::Passing(Upload::new(whole.freeze(), room, body, most - length as u64)));
             };
--- a/http/src/front.rs
+++ b/http/src/front.rs
@@ -14,7 +14,7 @@
 };
 use hyper::http::request::Parts;
 use hyper::{Method, Response, StatusCode, Uri};
-use sloeline_engine::engine::{Engine, Wire};
+use sloeline_engine::engine::{Engine, Transport};
 use sloeline_limits::Share;
 
 use crate::payload::Payload;
@@ -26,7 +26,7 @@
 /// Looks at heads. One for each listener.
 pub trait Front: 'static {
     /// What its engines send over.
-    type Wire: Wire<Call = Call, Reply = Reply>;
+    type Wire: Transport<Call = Call, Reply = Reply>;
 
     /// Decides on a request by its head; the error is its final answer, and nothing of it was sent.
     fn admit(&self, head: &Parts, peer: SocketAddr) -> Result<Admission<Self::Wire>, Answered>;
@@ -48,7 +48,7 @@
 }
 
 /// A request that is taken if its body comes.
-pub struct Admission<W: Wire> {
+pub struct Admission<W: Transport> {
     /// The engine that it goes to.
     pub engine: Rc<Engine<W>>,
     /// Its class there.
--- a/http/src/platform.rs
+++ b/http/src/platform.rs
@@ -10,7 +10,7 @@
 use hyper::header::{HeaderName, HeaderValue};
 use hyper::http::request::Parts;
 use hyper::{Method, StatusCode};
-use sloeline_engine::engine::{Engine, Wire};
+use sloeline_engine::engine::{Engine, Transport};
 use sloeline_limits::Share;
 
 use crate::front::{Admission, Admitted, Answered, Front, end_to_end, number, plain};
@@ -21,7 +21,7 @@
 const KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
 /// Named classes and tenants before one engine.
-pub struct Platform<W: Wire> {
+pub struct Platform<W: Transport> {
     engine: Rc<Engine<W>>,
     named: RefCell<Named>,
     admitted: Rc<Admitted>,
@@ -37,7 +37,7 @@
     pub tenants: HashMap<String, fs::TenantId>,
 }
 
-impl<W: Wire> Platform<W> {
+impl<W: Transport> Platform<W> {
     /// A front for what may be named; bodies and answers take of the share.
     pub fn new(engine: Rc<Engine<W>>, named: Named, bodies: Rc<Share>) -> Platform<W> {
         Platform { engine, named: RefCell::new(named), admitted: Rc::default(), bodies }
@@ -50,11 +50,11 @@
 
     /// Whether a request of the class is admitted or open: its number must keep its meaning.
     pub fn uses(&self, class: fs::ClassId) -> bool {
-        self.admitted.any(class) || self.engine.uses(class)
+        self.admitted.any(class) || self.engine.class_in_use(class)
     }
 }
 
-impl<W: Wire<Call = Call, Reply = Reply>> Front for Platform<W> {
+impl<W: Transport<Call = Call, Reply = Reply>> Front for Platform<W> {
     type Wire = W;
 
     fn admit(&self, head: &Parts, _peer: SocketAddr) -> Result<Admission<W>, Answered> {
@@ -122,7 +122,7 @@
     }
 
     fn ready(&self) -> bool {
-        self.engine.listed()
+        self.engine.has_list()
     }
 
     fn retry_after(&self, wish: Micros) -> Option<HeaderValue> {
--- a/http/src/pool.rs
+++ b/http/src/pool.rs
@@ -18,7 +18,7 @@
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper_util::rt::TokioIo;
 use sloeline_engine::types::Target;
-use sloeline_limits::{Share, Taken};
+use sloeline_limits::{Permit, Share};
 use socket2::SockRef;
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
@@ -38,7 +38,7 @@
 struct Socket {
     stream: Rc<RefCell<TokioIo<TcpStream>>>,
     written: Rc<Cell<u64>>,
-    _place: Taken,
+    _place: Permit,
     _leaves: Leaves,
 }
 
@@ -258,7 +258,7 @@
     /// Keeps a connection for the next request to this upstream.
     pub fn put(&self, server: ServerId, conn: Conn) {
         // Guards other pools: what was borrowed of the common reserve goes back while it is scarce.
-        if self.places.should_return(self.leaving.get()) {
+        if self.places.should_release(self.leaving.get()) {
             // While its socket is there, which tells when it is not.
             if conn.stream.upgrade().is_some() && !conn.given_up.replace(true) {
                 self.leaving.set(self.leaving.get() + 1);
@@ -281,7 +281,7 @@
     pub async fn connect(&self, address: SocketAddr) -> Result<Conn, Outcome> {
         // Guards the limit on descriptors: a connection is turned into another, or the attempt is not sent.
         let place = loop {
-            if let Some(place) = self.places.take(1) {
+            if let Some(place) = self.places.acquire(1) {
                 break place;
             }
             if !self.close_oldest() {
--- a/http/src/routed.rs
+++ b/http/src/routed.rs
@@ -10,13 +10,13 @@
 use hyper::header::{ALLOW, HOST, HeaderMap, HeaderName, HeaderValue};
 use hyper::http::request::Parts;
 use hyper::{Method, StatusCode, Uri, Version};
-use sloeline_engine::engine::{Engine, Wire};
-use sloeline_limits::bound::Bound;
-use sloeline_limits::{Share, Taken};
-use sloeline_routing::pattern::{self, Place, Request};
+use sloeline_engine::engine::{Engine, Transport};
+use sloeline_limits::admission::AdmissionLimit;
+use sloeline_limits::{Permit, Share};
+use sloeline_routing::pattern::{self, ConditionSource, Request};
 use sloeline_routing::split::{Split, hash};
-use sloeline_routing::table::{Miss, Table};
-use sloeline_routing::target::{BadTarget, Target, decoded};
+use sloeline_routing::table::{NoRoute, Table};
+use sloeline_routing::target::{Target, TargetError, percent_decode};
 use tokio::sync::oneshot;
 
 use crate::front::{Admission, Admitted, Answered, Front, Holding, Witness, end_to_end, number, plain};
@@ -44,7 +44,7 @@
 }
 
 /// A pool, as routes see it.
-pub struct Pool<W: Wire> {
+pub struct Pool<W: Transport> {
     /// Its name.
     pub name: String,
     /// Its engine.
@@ -54,9 +54,9 @@
     /// How many requests it may have open.
     pub open: Rc<Share>,
     /// What operators let it take for a time.
-    pub bound: Bound,
+    pub bound: AdmissionLimit,
     /// What the fleet lets this instance take of what all may.
-    pub fleet: Bound,
+    pub fleet: AdmissionLimit,
     /// Bytes that bodies and answers may take.
     pub bodies: Rc<Share>,
     /// Most bytes of an answer.
@@ -67,22 +67,22 @@
     pub held: oneshot::Sender<()>,
 }
 
-impl<W: Wire> Pool<W> {
+impl<W: Transport> Pool<W> {
     /// Whether a request of the class is admitted or open: its number must keep its meaning.
     pub fn uses(&self, class: fs::ClassId) -> bool {
-        self.admitted.any(class) || self.engine.uses(class)
+        self.admitted.any(class) || self.engine.class_in_use(class)
     }
 }
 
 /// A request in a pool, from its head to its answer.
-struct InHand<W: Wire> {
+struct InHand<W: Transport> {
     _pool: Rc<Pool<W>>,
     _class: Holding,
-    _place: Taken,
+    _place: Permit,
 }
 
-impl<W: Wire> InHand<W> {
-    fn new(pool: &Rc<Pool<W>>, class: fs::ClassId, place: Taken) -> InHand<W> {
+impl<W: Transport> InHand<W> {
+    fn new(pool: &Rc<Pool<W>>, class: fs::ClassId, place: Permit) -> InHand<W> {
         InHand { _pool: pool.clone(), _class: pool.admitted.hold(class), _place: place }
     }
 }
@@ -99,7 +99,7 @@
 }
 
 /// One side of a route's split, or its only pool.
-pub struct Side<W: Wire> {
+pub struct Side<W: Transport> {
     /// The pool.
     pub pool: Rc<Pool<W>>,
     /// The number there of each of the route's classes.
@@ -137,13 +137,13 @@
 }
 
 /// Looks at the answer to one request.
-struct Watching<W: Wire> {
+struct Watching<W: Transport> {
     service: Rc<Service<W>>,
     operation: Rc<dyn Operation>,
     key: Option<String>,
 }
 
-impl<W: Wire> Witness for Watching<W> {
+impl<W: Transport> Witness for Watching<W> {
     fn operation(&self) -> u64 {
         self.operation.number()
     }
@@ -152,13 +152,13 @@
         let seen = Seen { key: self.key.as_deref(), status, headers, took };
         if self.operation.answered(&seen) {
             // Those that are open in any of its pools, before their next attempt.
-            self.service.sides.iter().for_each(|side| side.pool.engine.narrow(self.operation.number()));
+            self.service.sides.iter().for_each(|side| side.pool.engine.forbid_retry(self.operation.number()));
         }
     }
 }
 
 /// What becomes of the requests of a route.
-pub struct Service<W: Wire> {
+pub struct Service<W: Transport> {
     /// The pools.
     pub sides: Vec<Side<W>>,
     /// Which of them, where there are several, and by what a caller is kept on its side.
@@ -178,7 +178,7 @@
 }
 
 /// The routes of a listener as of one configuration.
-pub struct Routes<W: Wire> {
+pub struct Routes<W: Transport> {
     /// Finds the route.
     pub table: Table,
     /// What each of the table's routes leads to.
@@ -192,11 +192,11 @@
 }
 
 /// A front whose routes can be replaced; requests that were admitted keep theirs.
-pub struct Routed<W: Wire> {
+pub struct Routed<W: Transport> {
     now: RefCell<Rc<Routes<W>>>,
 }
 
-impl<W: Wire> Routed<W> {
+impl<W: Transport> Routed<W> {
     /// A front with these routes.
     pub fn new(routes: Routes<W>) -> Routed<W> {
         Routed { now: RefCell::new(Rc::new(routes)) }
@@ -211,24 +211,24 @@
 }
 
 /// What stands in a header.
-pub fn seen(headers: &HeaderMap, name: &str) -> pattern::Seen {
+pub fn seen(headers: &HeaderMap, name: &str) -> pattern::FieldValue {
     let mut values = headers.get_all(name).iter();
     match (values.next(), values.next()) {
-        (None, _) => pattern::Seen::Nothing,
-        (Some(value), None) => {
-            value.to_str().map_or(pattern::Seen::Unclear, |v| pattern::Seen::One(v.to_owned()))
-        }
-        (Some(_), Some(_)) => pattern::Seen::Unclear,
+        (None, _) => pattern::FieldValue::Missing,
+        (Some(value), None) => value
+            .to_str()
+            .map_or(pattern::FieldValue::Ambiguous, |v| pattern::FieldValue::Single(v.to_owned())),
+        (Some(_), Some(_)) => pattern::FieldValue::Ambiguous,
     }
 }
 
 /// The target of a request in normal form.
-pub fn target(head: &Parts) -> Result<Target, BadTarget> {
+pub fn target(head: &Parts) -> Result<Target, TargetError> {
     let host = match seen(&head.headers, HOST.as_str()) {
-        pattern::Seen::One(host) => Some(host),
+        pattern::FieldValue::Single(host) => Some(host),
         // RFC 9112 section 3.2: whoever is newer than HTTP/1.0 names one.
-        pattern::Seen::Nothing if head.version == Version::HTTP_10 => None,
-        _ => return Err(BadTarget::Host),
+        pattern::FieldValue::Missing if head.version == Version::HTTP_10 => None,
+        _ => return Err(TargetError::InvalidHost),
     };
     let path = head.uri.path_and_query().map_or("", |p| p.as_str());
     match (head.uri.scheme_str(), head.uri.authority()) {
@@ -236,7 +236,7 @@
             Target::parse(&format!("{scheme}://{authority}{path}"), host.as_deref())
         }
         (None, None) => Target::parse(path, host.as_deref()),
-        _ => Err(BadTarget::Form),
+        _ => Err(TargetError::UnsupportedForm),
     }
 }
 
@@ -244,7 +244,7 @@
 fn forwarded(target: &Target, came: &Uri) -> Option<Uri> {
     match came.path_and_query() {
         Some(path) if path.path() == target.path.as_str() => Some(path.clone().into()),
-        _ => target.forwarded().parse().ok(),
+        _ => target.path_and_query().parse().ok(),
     }
 }
 
@@ -258,20 +258,20 @@
     let seen = match source {
         Source::Fixed(value) => return Ok(Some(value.clone())),
         Source::Header(name) => (seen(headers, name.as_str()), name.to_string()),
-        Source::Query(name) => (request.seen(&Place::Query(name.clone())), name.clone()),
+        Source::Query(name) => (request.field_value(&ConditionSource::Query(name.clone())), name.clone()),
         Source::Segment(at) => {
-            let segment = request.target.path.segment(*at).map(decoded).transpose();
+            let segment = request.target.path.segment(*at).map(percent_decode).transpose();
             return segment.map_err(|why| bad(why.to_string()));
         }
     };
     match seen {
-        (pattern::Seen::Nothing, _) => Ok(None),
-        (pattern::Seen::One(value), _) => Ok(Some(value).filter(|v| !v.is_empty())),
-        (pattern::Seen::Unclear, what) => Err(twice(&what)),
+        (pattern::FieldValue::Missing, _) => Ok(None),
+        (pattern::FieldValue::Single(value), _) => Ok(Some(value).filter(|v| !v.is_empty())),
+        (pattern::FieldValue::Ambiguous, what) => Err(twice(&what)),
     }
 }
 
-impl<W: Wire<Call = Call, Reply = Reply>> Front for Routed<W> {
+impl<W: Transport<Call = Call, Reply = Reply>> Front for Routed<W> {
     type Wire = W;
 
     fn admit(&self, head: &Parts, peer: SocketAddr) -> Result<Admission<W>, Answered> {
@@ -284,12 +284,12 @@
                 let found = routes.table.routes().get(at).zip(routes.services.get(at));
                 found.ok_or_else(|| plain(StatusCode::NOT_FOUND, "no such route"))?
             }
-            Err(Miss::Nothing) => {
+            Err(NoRoute::NotFound) => {
                 routes.strangers.set(routes.strangers.get() + 1);
                 return Err(plain(StatusCode::NOT_FOUND, "no such route"));
             }
-            Err(Miss::Unclear(place)) => return Err(bad(format!("{place} stands twice or is no text"))),
-            Err(Miss::Method(methods)) => {
+            Err(NoRoute::Ambiguous(place)) => return Err(bad(format!("{place} stands twice or is no text"))),
+            Err(NoRoute::MethodNotAllowed(methods)) => {
                 routes.strangers.set(routes.strangers.get() + 1);
                 let mut answer = plain(StatusCode::METHOD_NOT_ALLOWED, "no route for this method");
                 if let Ok(methods) = HeaderValue::from_str(&methods.join(", ")) {
@@ -333,7 +333,7 @@
             Some((split, stick)) => {
                 let value = stick.as_ref().map(|s| told(s, &request, &head.headers)).transpose()?.flatten();
                 // Who cannot be known again is known by its connection.
-                split.side(value.map_or_else(|| hash(peer.to_string().as_bytes()), |v| hash(v.as_bytes())))
+                split.choose(value.map_or_else(|| hash(peer.to_string().as_bytes()), |v| hash(v.as_bytes())))
             }
         };
         let Some(side) = service.sides.get(side) else {
@@ -341,7 +341,7 @@
         };
         let pool = &side.pool;
         // Nothing can be sent, and nothing was: the caller need not wait to hear so.
-        if pool.engine.upstreams() == 0 {
+        if pool.engine.ready_upstreams() == 0 {
             return Err(self.refused("no upstream"));
         }
         if let Err(wait) = pool.bound.admit(pool.engine.now(), pool.open.used()) {
@@ -351,7 +351,7 @@
             return Err(self.refused_for("the fleet's limit", wait));
         }
         // Guards the other pools: one whose upstreams hang holds no more than its part.
-        let place = pool.open.take(1).ok_or_else(|| self.refused("the pool is full"))?;
+        let place = pool.open.acquire(1).ok_or_else(|| self.refused("the pool is full"))?;
         let deadline = class.deadline;
         let class = side.classes.get(number_of_class).copied().flatten();
         let class = class.ok_or_else(|| plain(StatusCode::NOT_FOUND, "a route without a class"))?;
@@ -359,9 +359,9 @@
         // Guards against a caller that names the key, or what the route was found by, as its connection's own: the
         // upstream would get another request than the one that was matched.
         let taken_off = |name: &str| head.headers.contains_key(name) && !headers.contains_key(name);
-        let by_route = route.conditions.iter().filter_map(|c| match &c.place {
-            Place::Header(name) => Some(name.as_str()),
-            Place::Query(_) => None,
+        let by_route = route.conditions.iter().filter_map(|c| match &c.source {
+            ConditionSource::Header(name) => Some(name.as_str()),
+            ConditionSource::Query(_) => None,
         });
         let by_source = [&service.key, &service.tenant].into_iter().filter_map(|s| match s {
             Some(Source::Header(name)) => Some(name.as_str()),
@@ -405,7 +405,7 @@
     }
 
     fn ready(&self) -> bool {
-        self.now.borrow().pools.iter().all(|p| p.engine.listed())
+        self.now.borrow().pools.iter().all(|p| p.engine.has_list())
     }
 
     /// Whole seconds (RFC 9110 section 10.2.3), one where the module has no wish.
@@ -414,7 +414,7 @@
     }
 }
 
-impl<W: Wire<Call = Call, Reply = Reply>> Routed<W> {
+impl<W: Transport<Call = Call, Reply = Reply>> Routed<W> {
     fn refused(&self, why: &'static str) -> Answered {
         self.refused_for(why, 0)
     }
--- a/http/src/upload.rs
+++ b/http/src/upload.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
-use sloeline_limits::Taken;
+use sloeline_limits::Permit;
 
 use crate::payload::{End, Passing};
 
@@ -72,13 +72,13 @@
     frames: Cell<u64>,
     ended: Cell<Option<End>>,
     /// The memory of what was read before it was clear that there is not enough.
-    room: RefCell<Vec<Taken>>,
+    room: RefCell<Vec<Permit>>,
     when_come: RefCell<Vec<Box<dyn FnOnce()>>>,
 }
 
 impl Upload {
     /// What has come of a body and the memory that it has; its rest, which may have so many bytes.
-    pub fn new(first: Bytes, room: Vec<Taken>, rest: Incoming, most: u64) -> Rc<Upload> {
+    pub fn new(first: Bytes, room: Vec<Permit>, rest: Incoming, most: u64) -> Rc<Upload> {
         let here = first.len() as u64;
         let length = rest.size_hint().exact().and_then(|rest| rest.checked_add(here));
         Rc::new_cyclic(|this: &std::rc::Weak<Upload>| {
--- a/http/src/upstream.rs
+++ b/http/src/upstream.rs
@@ -11,7 +11,7 @@
 use http_body_util::BodyExt;
 use hyper::header::{CONTENT_LENGTH, HOST, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode, Uri, body::Body, body::Incoming};
-use sloeline_engine::engine::{Report, Wire};
+use sloeline_engine::engine::{AttemptReport, Transport};
 use sloeline_engine::types::Target;
 use sloeline_limits::Share;
 use tokio::task::{AbortHandle, spawn_local};
@@ -241,18 +241,18 @@
     }
 
     /// Starts an attempt.
-    pub fn send<W: Wire<Reply = Reply>>(
+    pub fn send<W: Transport<Reply = Reply>>(
         &self,
         to: Target,
         call: Rc<Call>,
         limit: Micros,
-        report: Report<W>,
+        report: AttemptReport<W>,
     ) -> Attempt {
         let (pool, flight, dialect) = (self.pool.clone(), Flight::new(&call), self.dialect.borrow().clone());
         let shared = flight.clone();
         if let Sent::Passing(upload) = &call.body {
-            let come = report.come();
-            upload.when_come(move || come.tell());
+            let come = report.body_receipt();
+            upload.when_come(move || come.complete());
         }
         let task = spawn_local(async move {
             let ended = exchange(&pool, to, &call, Some(limit), &dialect, &shared).await;
@@ -381,15 +381,15 @@
 }
 
 /// Lets the rest of an answer go to the caller; the attempt ends with it.
-fn pass<W: Wire<Reply = Reply>>(
+fn pass<W: Transport<Reply = Reply>>(
     pool: Rc<Pool>,
     server: ServerId,
     conn: Conn,
     mut reply: Reply,
     load: Option<Load>,
-    report: Report<W>,
+    report: AttemptReport<W>,
 ) {
-    let opening = report.opening();
+    let opening = report.response_start();
     if let Payload::Passing(passing) = &mut reply.body {
         passing.at_end(move |end| match end {
             End::Whole => {
@@ -506,7 +506,7 @@
             let settings = fs::Settings::new(Vec::new());
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let to = Target { server: 0, address: listener.local_addr().expect("an address") };
-            let upstreams = Upstreams::new(&settings.limits, Share::alone(most), Dialect::platform());
+            let upstreams = Upstreams::new(&settings.limits, Share::standalone(most), Dialect::platform());
             test(upstreams, listener, to).await;
         });
     }
--- a/http/tests/admission.rs
+++ b/http/tests/admission.rs
@@ -9,8 +9,8 @@
 use finchshift::{Effect, Group, ListKind, Micros, ServerId, ServerState};
 use hyper::http::request::Parts;
 use hyper::{Request, StatusCode};
-use sloeline_engine::engine::{Engine, Report, Wire};
-use sloeline_engine::types::{Listed, Target};
+use sloeline_engine::engine::{AttemptReport, Engine, Transport};
+use sloeline_engine::types::{DiscoveryEntry, Target};
 use sloeline_http::front::{Admission, Front};
 use sloeline_http::routed::{ClassOf, Pool, Routed, Routes, Service, Side, Source};
 use sloeline_http::upstream::{Call, Reply};
@@ -24,11 +24,11 @@
 /// Sends nothing.
 struct Deaf;
 
-impl Wire for Deaf {
+impl Transport for Deaf {
     type Call = Call;
     type Reply = Reply;
-    type Out = ();
-    fn send(&self, _: Target, _: Rc<Call>, _: Micros, _: Report<Self>) {}
+    type Attempt = ();
+    fn send(&self, _: Target, _: Rc<Call>, _: Micros, _: AttemptReport<Self>) {}
     fn abort(&self, (): ()) -> bool {
         true
     }
@@ -58,7 +58,7 @@
 fn pool(name: &str, open: usize) -> Rc<Pool<Deaf>> {
     let settings = fs::Settings::new(vec![class(Effect::Safe), class(KEYED)]);
     let engine = Engine::new(settings, &Names::default(), 1, Deaf).expect("good settings");
-    let node = Listed {
+    let node = DiscoveryEntry {
         instance: "n".to_owned(),
         address: SocketAddr::from(([127, 0, 0, 1], 1)),
         zone: "a".to_owned(),
@@ -68,15 +68,15 @@
         weight: 1.0,
         started: None,
     };
-    engine.list(ListKind::Complete, vec![node]);
+    engine.update_list(ListKind::Complete, vec![node]);
     Rc::new(Pool {
         name: name.to_owned(),
         engine,
         tenants: RefCell::new(HashMap::from([("gold".to_owned(), 0), ("tin".to_owned(), 1)])),
-        open: Share::alone(open),
+        open: Share::standalone(open),
         bound: Default::default(),
         fleet: Default::default(),
-        bodies: Share::alone(1 << 20),
+        bodies: Share::standalone(1 << 20),
         most_answer: Cell::new(4096),
         admitted: Rc::default(),
         held: oneshot::channel().0,
--- a/limits/src/bound.rs
+++ b/limits/src/admission.rs
@@ -15,7 +15,7 @@
 
 /// A bound, or none.
 #[derive(Debug, Default)]
-pub struct Bound {
+pub struct AdmissionLimit {
     open: Cell<Option<u64>>,
     rate: Cell<Option<f64>>,
     left: Cell<f64>,
@@ -26,7 +26,7 @@
     asked: Cell<u64>,
 }
 
-impl Bound {
+impl AdmissionLimit {
     /// Other bounds from now on; none for no bound. A bucket begins full.
     pub fn set(&self, now: u64, open: Option<u64>, rate: Option<f64>) {
         self.open.set(open);
@@ -42,12 +42,12 @@
     }
 
     /// The bounds: requests open at once, requests a second.
-    pub fn bounds(&self) -> (Option<u64>, Option<f64>) {
+    pub fn limits(&self) -> (Option<u64>, Option<f64>) {
         (self.open.get(), self.rate.get())
     }
 
     /// Requests that asked so far.
-    pub fn asked(&self) -> u64 {
+    pub fn offered(&self) -> u64 {
         self.asked.get()
     }
 
@@ -103,7 +103,7 @@
     #[test]
     fn no_more_than_the_rate_and_what_gathers_come_through() {
         for (rate, offered, seconds) in [(100.0, 1000, 10), (2.5, 40, 20), (0.0, 100, 5), (1000.0, 200, 3)] {
-            let bound = Bound::default();
+            let bound = AdmissionLimit::default();
             bound.set(0, None, Some(rate));
             let total = offered * seconds;
             let admitted =
@@ -117,7 +117,7 @@
 
     #[test]
     fn a_rate_that_changes_often_lets_no_more_through() {
-        let bound = Bound::default();
+        let bound = AdmissionLimit::default();
         let admitted = (0..10_000_u64).filter(|n| {
             bound.set(n * 1_000, None, Some(100.0 + (n % 2) as f64));
             bound.admit(n * 1_000, 0).is_ok()
@@ -128,7 +128,7 @@
 
     #[test]
     fn those_that_are_refused_return_in_line_and_find_room() {
-        let bound = Bound::default();
+        let bound = AdmissionLimit::default();
         bound.set(0, None, Some(10.0));
         assert_eq!(bound.admit(0, 0), Ok(()));
         let waits: Vec<u64> = (0..20).map(|_| bound.admit(0, 0).expect_err("it is empty")).collect();
@@ -147,12 +147,12 @@
 
     #[test]
     fn the_number_open_counts_and_a_bound_that_is_gone_holds_nobody() {
-        let bound = Bound::default();
+        let bound = AdmissionLimit::default();
         assert_eq!(bound.admit(0, 1_000_000), Ok(()));
         bound.set(0, Some(3), None);
         assert_eq!((bound.admit(0, 2), bound.admit(0, 3)), (Ok(()), Err(0)));
         bound.set(0, Some(0), Some(5.0));
-        assert_eq!((bound.admit(0, 0), bound.bounds()), (Err(0), (Some(0), Some(5.0))));
+        assert_eq!((bound.admit(0, 0), bound.limits()), (Err(0), (Some(0), Some(5.0))));
         bound.set(0, None, None);
         assert_eq!(bound.admit(0, 1_000_000), Ok(()));
         // A clock that goes back brings no tokens.
--- a/limits/src/lib.rs
+++ b/limits/src/lib.rs
@@ -5,7 +5,7 @@
 //! half of the reserve, two leave a third, and so on: dynamic thresholds with a factor of one (A. Choudhury, E.
 //! Hahne, "Dynamic Queue Length Thresholds for Shared-Memory Packet Switches", 1998).
 
-pub mod bound;
+pub mod admission;
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -52,12 +52,12 @@
     }
 
     /// A share that has nobody beside it.
-    pub fn alone(own: usize) -> Rc<Share> {
+    pub fn standalone(own: usize) -> Rc<Share> {
         Share::new(own, &Reserve::new(0))
     }
 
     /// What nobody else can take.
-    pub fn own(&self) -> usize {
+    pub fn guaranteed(&self) -> usize {
         self.own.get()
     }
 
@@ -67,7 +67,7 @@
     }
 
     /// What it could still take if nobody else took any.
-    pub fn left(&self) -> usize {
+    pub fn available(&self) -> usize {
         self.own.get().saturating_sub(self.used.get()) + self.reserve.free()
     }
 
@@ -78,7 +78,7 @@
 
     /// It has borrowed all that it may, and others find too little: what is not needed should be given back. So much
     /// is on its way back already, though still counted.
-    pub fn should_return(&self, leaving: usize) -> bool {
+    pub fn should_release(&self, leaving: usize) -> bool {
         let borrowed = self.borrowed().saturating_sub(leaving);
         // One more would leave less free than it had borrowed.
         borrowed > 0 && borrowed + 1 >= self.reserve.free() + leaving
@@ -90,7 +90,7 @@
     }
 
     /// Takes so much, given back when what is returned is dropped; nothing where there is too little.
-    pub fn take(self: &Rc<Self>, amount: usize) -> Option<Taken> {
+    pub fn acquire(self: &Rc<Self>, amount: usize) -> Option<Permit> {
         let used = self.used.get().checked_add(amount)?;
         let borrowed = used.saturating_sub(self.own.get());
         let more = borrowed - self.borrowed();
@@ -98,7 +98,7 @@
             return None;
         }
         self.account(|| self.used.set(used));
-        Some(Taken { share: self.clone(), amount })
+        Some(Permit { share: self.clone(), amount })
     }
 
     fn account(&self, change: impl FnOnce()) {
@@ -116,12 +116,12 @@
 
 /// What was taken of a share.
 #[derive(Debug)]
-pub struct Taken {
+pub struct Permit {
     share: Rc<Share>,
     amount: usize,
 }
 
-impl Drop for Taken {
+impl Drop for Permit {
     fn drop(&mut self) {
         self.share.account(|| self.share.used.set(self.share.used.get() - self.amount));
     }
@@ -151,10 +151,10 @@
     fn one_that_takes_all_it_gets_leaves_the_others_their_own_and_half_of_the_reserve() {
         let reserve = Reserve::new(100);
         let (greedy, modest) = (Share::new(10, &reserve), Share::new(10, &reserve));
-        let held: Vec<Taken> = std::iter::from_fn(|| greedy.take(1)).collect();
+        let held: Vec<Permit> = std::iter::from_fn(|| greedy.acquire(1)).collect();
         assert_eq!((held.len(), greedy.borrowed(), reserve.free()), (60, 50, 50));
-        assert!(greedy.should_return(0) && !greedy.should_return(1) && !modest.should_return(0));
-        let other: Vec<Taken> = std::iter::from_fn(|| modest.take(1)).collect();
+        assert!(greedy.should_release(0) && !greedy.should_release(1) && !modest.should_release(0));
+        let other: Vec<Permit> = std::iter::from_fn(|| modest.acquire(1)).collect();
         assert_eq!(other.len(), 10 + 25);
         drop(held);
         assert_eq!((greedy.used(), reserve.free()), (0, 75));
@@ -164,21 +164,21 @@
 
     #[test]
     fn a_share_alone_is_a_plain_limit() {
-        let share = Share::alone(3);
-        let held: Vec<_> = std::iter::from_fn(|| share.take(1)).collect();
+        let share = Share::standalone(3);
+        let held: Vec<_> = std::iter::from_fn(|| share.acquire(1)).collect();
         assert_eq!((held.len(), share.borrowed()), (3, 0));
-        assert!(share.take(0).is_some() && share.take(usize::MAX).is_none());
+        assert!(share.acquire(0).is_some() && share.acquire(usize::MAX).is_none());
     }
 
     #[test]
     fn sizes_change_under_what_is_taken() {
         let reserve = Reserve::new(10);
         let share = Share::new(4, &reserve);
-        let held = share.take(4);
+        let held = share.acquire(4);
         share.resize(1);
         assert_eq!((share.borrowed(), reserve.free()), (3, 7));
         reserve.resize(2);
-        assert_eq!((reserve.free(), share.take(1).is_none()), (0, true));
+        assert_eq!((reserve.free(), share.acquire(1).is_none()), (0, true));
         share.resize(9);
         assert_eq!((share.borrowed(), reserve.free()), (0, 2));
         drop(held);
@@ -208,7 +208,7 @@
                     0 => shares[at].resize(rng.usize(0..20)),
                     1 => reserve.resize(rng.usize(0..50)),
                     2 | 3 if !held.is_empty() => drop(held.swap_remove(rng.usize(0..held.len()))),
-                    _ => held.extend(shares[at].take(rng.usize(0..5)).map(|t| (at, t))),
+                    _ => held.extend(shares[at].acquire(rng.usize(0..5)).map(|t| (at, t))),
                 }
                 for (at, share) in shares.iter().enumerate() {
                     assert_eq!(
--- a/membership/src/file.rs
+++ b/membership/src/file.rs
@@ -6,7 +6,7 @@
 
 use finchshift::ListKind;
 use notify::{RecommendedWatcher, RecursiveMode, Watcher};
-use sloeline_engine::types::Listed;
+use sloeline_engine::types::DiscoveryEntry;
 use sloeline_events::tell;
 use tokio::sync::Notify;
 use tokio::task::{AbortHandle, spawn_local};
@@ -17,7 +17,7 @@
 const MOST_LIST: u64 = 8 << 20;
 
 /// Reads a list; the error is one line that names the file.
-pub fn read(path: &Path) -> Result<Vec<Listed>, String> {
+pub fn read(path: &Path) -> Result<Vec<DiscoveryEntry>, String> {
     let named = |why: String| format!("{}: {why}", path.display());
     let size = std::fs::metadata(path).map_err(|e| named(e.to_string()))?.len();
     if size > MOST_LIST {
@@ -42,7 +42,7 @@
 
 /// Tells the list whenever the file changes. What cannot be read is logged, and the last list holds. The folder is
 /// watched: a file that is replaced by renaming is another file under the same name.
-pub fn watch(path: &Path, tell: impl Fn(ListKind, Vec<Listed>) + 'static) -> Result<Watched, String> {
+pub fn watch(path: &Path, tell: impl Fn(ListKind, Vec<DiscoveryEntry>) + 'static) -> Result<Watched, String> {
     let named = |why: String| format!("{}: {why}", path.display());
     let path: PathBuf = std::path::absolute(path).map_err(|e| named(e.to_string()))?;
     let folder = path.parent().ok_or_else(|| named("has no folder".to_owned()))?.to_owned();
--- a/membership/src/follow.rs
+++ b/membership/src/follow.rs
@@ -7,7 +7,7 @@
 
 use finchshift::{ListKind, Micros};
 use sloeline_engine::clock::Clock;
-use sloeline_engine::types::Listed;
+use sloeline_engine::types::DiscoveryEntry;
 use sloeline_events::tell;
 use tokio::sync::Notify;
 use tokio::task::{AbortHandle, spawn_local};
@@ -121,7 +121,7 @@
 }
 
 /// Hands on what has changed, when it is due.
-async fn tell(shared: Rc<Shared>, tell: impl Fn(ListKind, Vec<Listed>)) {
+async fn tell(shared: Rc<Shared>, tell: impl Fn(ListKind, Vec<DiscoveryEntry>)) {
     loop {
         let now = shared.clock.now();
         let changes = {
@@ -153,7 +153,7 @@
         origins: &[(String, Origin)],
         rules: &Rules,
         seed: u64,
-        told: impl Fn(ListKind, Vec<Listed>) + 'static,
+        told: impl Fn(ListKind, Vec<DiscoveryEntry>) + 'static,
     ) -> Following {
         let names: Vec<String> = origins.iter().map(|(name, _)| name.clone()).collect();
         let shared = Rc::new(Shared {
@@ -205,7 +205,7 @@
                 // Watched first: what is written in between is not missed.
                 let told = {
                     let (shared, named) = (shared.clone(), named.clone());
-                    move |_, list: Vec<Listed>| shared.heard(at, &named, true, &list)
+                    move |_, list: Vec<DiscoveryEntry>| shared.heard(at, &named, true, &list)
                 };
                 self.files.push(file::watch(path, told)?);
                 shared.heard(at, &named, true, &file::read(path)?);
@@ -251,7 +251,7 @@
 
 impl Shared {
     /// A list of a source that tells no revisions: the newest is the one that came last.
-    fn heard(&self, source: usize, name: &str, whole: bool, list: &[Listed]) {
+    fn heard(&self, source: usize, name: &str, whole: bool, list: &[DiscoveryEntry]) {
         let confirmed = Some(self.clock.now());
         self.members.borrow_mut().health(source, Health { confirmed, ..Health::default() });
         self.take(source, name, News::of_list(whole, 0, list));
--- a/membership/src/merge.rs
+++ b/membership/src/merge.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use finchshift::{ListKind, Micros, ServerState};
-use sloeline_engine::types::Listed;
+use sloeline_engine::types::DiscoveryEntry;
 
 use crate::doubt::{Belief, Reason, Refused, Rules};
 use crate::view::{Health, News, Standing};
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Verdict {
     /// As the engine is told.
-    pub listed: Listed,
+    pub listed: DiscoveryEntry,
     /// The source that says what it is.
     pub source: String,
     /// Whose word decides that it is in or out, if another's.
@@ -46,7 +46,7 @@
     rules: Rules,
     sources: Vec<Source>,
     /// What the engine was told last.
-    told: BTreeMap<String, Listed>,
+    told: BTreeMap<String, DiscoveryEntry>,
     begun: bool,
     /// When the first view came.
     first: Option<Micros>,
@@ -224,7 +224,7 @@
     }
 
     /// What the engine is to be told now. The first time it is everything.
-    pub fn changes(&mut self, now: Micros) -> Option<(ListKind, Vec<Listed>)> {
+    pub fn changes(&mut self, now: Micros) -> Option<(ListKind, Vec<DiscoveryEntry>)> {
         if self.begins_at().is_none_or(|at| at > now) {
             return None;
         }
@@ -232,7 +232,7 @@
             self.begun = true;
             self.waiting = None;
             self.dirty.clear();
-            let all: Vec<Listed> = self.all().into_iter().map(|v| v.listed).collect();
+            let all: Vec<DiscoveryEntry> = self.all().into_iter().map(|v| v.listed).collect();
             self.told = all.iter().map(|l| (l.instance.clone(), l.clone())).collect();
             return Some((ListKind::Complete, all));
         }
@@ -251,7 +251,7 @@
                 }
                 (None, Some(_)) => {
                     let was = self.told.remove(&id);
-                    news.extend(was.map(|l| Listed { state: ServerState::Gone, ..l }));
+                    news.extend(was.map(|l| DiscoveryEntry { state: ServerState::Gone, ..l }));
                 }
                 (None, None) => {}
             }
--- a/membership/src/platform.rs
+++ b/membership/src/platform.rs
@@ -12,7 +12,7 @@
 use hyper::{Request, StatusCode, header::HOST};
 use hyper_util::rt::TokioIo;
 use serde::{Deserialize, Serialize};
-use sloeline_engine::types::Listed;
+use sloeline_engine::types::DiscoveryEntry;
 use sloeline_events::tell;
 use sloeline_settings::setup::{micros, millis, one};
 use tokio::net::TcpStream;
@@ -75,8 +75,8 @@
 
 impl List {
     /// A whole list in discovery's form.
-    pub fn whole(generation: u64, listed: Vec<Listed>) -> List {
-        let instance = |l: Listed| Instance {
+    pub fn whole(generation: u64, listed: Vec<DiscoveryEntry>) -> List {
+        let instance = |l: DiscoveryEntry| Instance {
             instance_id: l.instance,
             host_port: l.address.to_string(),
             zone: l.zone,
@@ -94,14 +94,14 @@
     }
 
     /// The entries for the engine; one whose address cannot be read is logged and passed over.
-    pub fn entries(self) -> Vec<Listed> {
+    pub fn entries(self) -> Vec<DiscoveryEntry> {
         let entry = |i: Instance| {
             let Ok(address) = i.host_port.parse() else {
                 let (node, found) = (&i.instance_id, &i.host_port);
                 tell!(DISCOVERY_ADDRESS, node = %node; "discovery: {node} has no readable address: {found:?}");
                 return None;
             };
-            Some(Listed {
+            Some(DiscoveryEntry {
                 address,
                 instance: i.instance_id,
                 zone: i.zone,
@@ -157,7 +157,11 @@
 
     /// Leaves the present address, its watch and its line: the new one is asked for the whole list at once and
     /// then watched. Guards against versions of another discovery, which say nothing there.
-    pub fn move_to(self: &Rc<Self>, address: SocketAddr, tell: impl Fn(ListKind, Vec<Listed>) + 'static) {
+    pub fn move_to(
+        self: &Rc<Self>,
+        address: SocketAddr,
+        tell: impl Fn(ListKind, Vec<DiscoveryEntry>) + 'static,
+    ) {
         if self.address.replace(address) == address {
             return;
         }
@@ -167,14 +171,14 @@
     }
 
     /// Watches from now on and tells each list; a failure is told and ends the watch. A watch under way ends.
-    pub fn watch(self: &Rc<Self>, tell: impl Fn(ListKind, Vec<Listed>) + 'static) {
+    pub fn watch(self: &Rc<Self>, tell: impl Fn(ListKind, Vec<DiscoveryEntry>) + 'static) {
         self.start(0, None, tell);
     }
 
     /// Asks for the whole list at once, watches, and begins anew after each failure, which is told to nobody. The
     /// pauses double up to a bound and are drawn at random, so that instances do not ask in step. Ends the watch
     /// under way.
-    pub fn follow(self: &Rc<Self>, seed: u64, tell: impl Fn(ListKind, Vec<Listed>) + 'static) {
+    pub fn follow(self: &Rc<Self>, seed: u64, tell: impl Fn(ListKind, Vec<DiscoveryEntry>) + 'static) {
         self.generation.set(None);
         self.start(0, Some(fastrand::Rng::with_seed(seed)), tell);
     }
@@ -192,7 +196,7 @@
         self: &Rc<Self>,
         mut again: u32,
         mut follow: Option<fastrand::Rng>,
-        tell: impl Fn(ListKind, Vec<Listed>) + 'static,
+        tell: impl Fn(ListKind, Vec<DiscoveryEntry>) + 'static,
     ) {
         let this = self.clone();
         let task = spawn_local(async move {
@@ -241,7 +245,7 @@
     }
 
     /// Asks once for the whole list and tells it.
-    pub fn fetch(self: &Rc<Self>, tell: impl Fn(ListKind, Vec<Listed>) + 'static) {
+    pub fn fetch(self: &Rc<Self>, tell: impl Fn(ListKind, Vec<DiscoveryEntry>) + 'static) {
         let this = self.clone();
         spawn_local(async move {
             let (before, moves) = (this.generation.get(), this.moves.get());
--- a/membership/src/view.rs
+++ b/membership/src/view.rs
@@ -1,7 +1,7 @@
 //! What a source of membership tells, whichever protocol it speaks.
 
 use finchshift::{Micros, ServerState};
-use sloeline_engine::types::Listed;
+use sloeline_engine::types::DiscoveryEntry;
 
 /// How new a view is. Numbers are compared within one epoch only; a source begins another epoch when its registry is
 /// no longer the one it knew (another cluster, or one that was restored from a backup).
@@ -65,8 +65,8 @@
 
 impl Node {
     /// For the engine.
-    pub fn listed(&self, state: ServerState) -> Listed {
-        Listed {
+    pub fn listed(&self, state: ServerState) -> DiscoveryEntry {
+        DiscoveryEntry {
             instance: self.identity.clone(),
             address: self.address,
             zone: self.zone.clone(),
@@ -79,7 +79,7 @@
     }
 
     /// From a list in the platform's form.
-    pub fn of(listed: &Listed) -> Node {
+    pub fn of(listed: &DiscoveryEntry) -> Node {
         Node {
             identity: listed.instance.clone(),
             address: listed.address,
@@ -136,8 +136,8 @@
 
 impl News {
     /// A list in the platform's form, which tells no revision that could be compared: every list counts as newer.
-    pub fn of_list(whole: bool, number: u64, listed: &[Listed]) -> News {
-        let member = |l: &Listed| {
+    pub fn of_list(whole: bool, number: u64, listed: &[DiscoveryEntry]) -> News {
+        let member = |l: &DiscoveryEntry| {
             let standing = if l.state == ServerState::Ready { Standing::Serving } else { Standing::Draining };
             Member { node: Node::of(l), standing, written: 0 }
         };
@@ -146,7 +146,7 @@
             let there = listed.iter().filter(|l| l.state != ServerState::Gone);
             return News { revision, body: Body::Whole(there.map(member).collect()) };
         }
-        let change = |l: &Listed| match l.state {
+        let change = |l: &DiscoveryEntry| match l.state {
             ServerState::Gone => Change::Gone(l.instance.clone(), Loss::Ordered),
             _ => Change::Put(member(l)),
         };
--- a/mesh/data-plane/src/front.rs
+++ b/mesh/data-plane/src/front.rs
@@ -132,7 +132,7 @@
             here
         });
         let Some((service, class, _)) = side else { return Err(refused("no service")) };
-        if service.engine.upstreams() == 0 {
+        if service.engine.ready_upstreams() == 0 {
             return Err(refused("no upstream"));
         }
         let mut headers = end_to_end(&head.headers);
--- a/mesh/data-plane/src/program.rs
+++ b/mesh/data-plane/src/program.rs
@@ -115,8 +115,8 @@
     let free = settings.size_limits.file_handles.saturating_sub(RESERVED).max(16) as f64;
     let (places, connections) = ((free * CALLERS) as usize, (free * (1.0 - CALLERS)) as usize);
     let memory = (settings.size_limits.memory_mb << 20) as f64;
-    let bodies = Share::alone((memory * BODIES) as usize);
-    let connections = Share::alone(connections);
+    let bodies = Share::standalone((memory * BODIES) as usize);
+    let connections = Share::standalone(connections);
 
     let keys = Keys::new(settings.node_name.clone());
     let dialect = Dialect {
--- a/mesh/data-plane/src/services.rs
+++ b/mesh/data-plane/src/services.rs
@@ -13,9 +13,9 @@
 use hyper::header::HeaderValue;
 use sloeline_discovery::{Condition, Record};
 use sloeline_engine::clock::Clock;
-use sloeline_engine::engine::{Engine, Report, Wire};
-use sloeline_engine::slots::{Slot, assign};
-use sloeline_engine::types::{Listed, Target};
+use sloeline_engine::engine::{AttemptReport, Engine, Transport};
+use sloeline_engine::slots::{ClassSlot, assign};
+use sloeline_engine::types::{DiscoveryEntry, Target};
 use sloeline_http::front::{Admitted, number};
 use sloeline_http::upstream::{Attempt, Call, Dialect, Reply, Upstreams};
 use sloeline_limits::Share;
@@ -53,12 +53,12 @@
     behind: RefCell<HashMap<SocketAddr, HeaderValue>>,
 }
 
-impl Wire for Rails {
+impl Transport for Rails {
     type Call = Call;
     type Reply = Reply;
-    type Out = Attempt;
+    type Attempt = Attempt;
 
-    fn send(&self, to: Target, call: Rc<Call>, limit: Micros, report: Report<Self>) -> Attempt {
+    fn send(&self, to: Target, call: Rc<Call>, limit: Micros, report: AttemptReport<Self>) -> Attempt {
         let mut headers = call.headers.clone();
         if let Some(id) = self.behind.borrow().get(&to.address) {
             headers.insert(header_names::ADDRESSEE, id.clone());
@@ -76,11 +76,11 @@
         self.upstreams.send(to, Rc::new(call), limit, report)
     }
 
-    fn coming(&self, call: &Call) -> bool {
+    fn body_pending(&self, call: &Call) -> bool {
         !call.body.has_come()
     }
 
-    fn spent(&self, call: &Call) -> bool {
+    fn body_consumed(&self, call: &Call) -> bool {
         call.body.spent()
     }
 
@@ -108,8 +108,8 @@
     pub engine: Rc<Engine<Rails>>,
     /// Requests between head and answer, by class.
     pub admitted: Rc<Admitted>,
-    slots: RefCell<Vec<Slot>>,
-    listed: RefCell<Vec<Listed>>,
+    slots: RefCell<Vec<ClassSlot>>,
+    listed: RefCell<Vec<DiscoveryEntry>>,
     tasks: Vec<AbortHandle>,
 }
 
@@ -120,7 +120,7 @@
 }
 
 /// A class as routes need it: the same for all routes of a service that say the same.
-fn slot(route: &Route) -> Slot {
+fn slot(route: &Route) -> ClassSlot {
     let effect = match route.route_kind {
         RouteKind::Safe | RouteKind::Download => Effect::Safe,
         // Keyed ones too: the balancer beside the upstream keeps the key, but a further arrival costs the budget.
@@ -134,7 +134,7 @@
     let (aim, deadline) = (route.target.0.max(1_000), route.dispatch.timeout.0);
     let class = fs::Class { effect, aim, aim_stretch: 0.0, deadline, worth, late_worth: 0.15, stream: false };
     let kind = route.route_kind;
-    Slot { name: format!("{kind:?}/{}/{aim}/{deadline}", route.precedence), class }
+    ClassSlot { name: format!("{kind:?}/{}/{aim}/{deadline}", route.precedence), class }
 }
 
 fn dialect() -> Dialect {
@@ -187,7 +187,7 @@
     pub fn plan(&mut self, table: &Table, ground: &Ground) -> Result<Vec<Lead>> {
         // Each class of a service has an engine of its own: what one is turned away for says nothing of another, and least of
         // all may requests wait that others wait for.
-        let mut wanted: BTreeMap<(&str, String), Vec<Slot>> = BTreeMap::new();
+        let mut wanted: BTreeMap<(&str, String), Vec<ClassSlot>> = BTreeMap::new();
         for route in table.routes() {
             let slot = slot(route);
             for (line, _) in route.dispatch.parts() {
@@ -207,9 +207,9 @@
             let group: Group = ((*line).to_owned(), group.clone());
             let service = self.by_group.get(&group);
             let old = service.map(|s| s.slots.borrow().clone()).unwrap_or_default();
-            let uses = |at| service.is_some_and(|s| s.admitted.any(at) || s.engine.uses(at));
+            let uses = |at| service.is_some_and(|s| s.admitted.any(at) || s.engine.class_in_use(at));
             let assigned = assign(&old, slots, uses);
-            for (slot, number) in slots.iter().zip(&assigned.numbers) {
+            for (slot, number) in slots.iter().zip(&assigned.class_ids) {
                 numbers.insert(((*line).to_owned(), slot.name.clone()), (group.clone(), *number));
             }
             let classes = assigned.slots.iter().map(|s| s.class.clone()).collect();
@@ -217,13 +217,13 @@
             let settings = settings(ground, &mut zones, classes, tries);
             match service {
                 Some(service) => {
-                    let done = service.engine.reconfigure(settings, &assigned.learned);
+                    let done = service.engine.reconfigure(settings, &assigned.inherited);
                     done.map_err(|e| anyhow!("{line}: {e}"))?;
                     *service.slots.borrow_mut() = assigned.slots;
                 }
                 None => {
                     let service = start(line, settings, &zones, ground, assigned.slots)?;
-                    service.engine.set_cutting(!self.keeps);
+                    service.engine.set_cancellation(!self.keeps);
                     self.by_group.insert(group, Rc::new(service));
                 }
             }
@@ -244,7 +244,7 @@
 
     /// Tells each service its upstreams.
     pub fn list(&self, records: &BTreeMap<String, Rc<Record>>) {
-        let mut lists: BTreeMap<&str, Vec<Listed>> = BTreeMap::new();
+        let mut lists: BTreeMap<&str, Vec<DiscoveryEntry>> = BTreeMap::new();
         let mut behind = HashMap::new();
         for record in records.values() {
             let (Some(upstream), Some(incoming)) = (&record.upstream, record.incoming) else { continue };
@@ -255,7 +255,7 @@
             if let Ok(id) = HeaderValue::from_str(&upstream.id) {
                 behind.insert(incoming, id);
             }
-            lists.entry(upstream.service.as_str()).or_default().push(Listed {
+            lists.entry(upstream.service.as_str()).or_default().push(DiscoveryEntry {
                 instance: upstream.id.clone(),
                 address: incoming,
                 zone: record.zone.clone(),
@@ -268,10 +268,10 @@
         }
         for ((line, _), service) in &self.by_group {
             let list = lists.get(line.as_str()).cloned().unwrap_or_default();
-            service.engine.wire().behind.borrow_mut().clone_from(&behind);
-            if *service.listed.borrow() != list || !service.engine.listed() {
+            service.engine.transport().behind.borrow_mut().clone_from(&behind);
+            if *service.listed.borrow() != list || !service.engine.has_list() {
                 service.listed.borrow_mut().clone_from(&list);
-                service.engine.list(ListKind::Complete, list);
+                service.engine.update_list(ListKind::Complete, list);
             }
         }
     }
@@ -280,12 +280,12 @@
     /// it was told to stop, and for as long after its start as clients may still count on its former life.
     pub fn set_cutting(&mut self, cuts: bool) {
         self.keeps = !cuts;
-        self.by_group.values().for_each(|service| service.engine.set_cutting(cuts));
+        self.by_group.values().for_each(|service| service.engine.set_cancellation(cuts));
     }
 
     /// Each has an upstream.
     pub fn listed(&self) -> bool {
-        self.by_group.values().any(|s| s.engine.upstreams() > 0)
+        self.by_group.values().any(|s| s.engine.ready_upstreams() > 0)
     }
 }
 
@@ -319,7 +319,7 @@
     settings: fs::Settings,
     zones: &Names,
     ground: &Ground,
-    slots: Vec<Slot>,
+    slots: Vec<ClassSlot>,
 ) -> Result<Service> {
     let upstreams = Upstreams::new(&settings.limits, ground.connections.clone(), dialect());
     let tend = upstreams.tend();
@@ -328,8 +328,8 @@
         Engine::new(settings, zones, fastrand::u64(..), rails).map_err(|e| anyhow!("{name}: {e}"))?;
     let tasks = vec![spawn_local(tend).abort_handle(), spawn_local(engine.clone().run()).abort_handle()];
     engine.refuse_unsent();
-    engine.end_for_gone();
-    engine.begin();
+    engine.cancel_on_disconnect();
+    engine.start();
     Ok(Service {
         name: name.to_owned(),
         engine,
--- a/routing/benches/lookup.rs
+++ b/routing/benches/lookup.rs
@@ -3,7 +3,7 @@
 use std::hint::black_box;
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use sloeline_routing::pattern::{HostPattern, PathPattern, Request, Route, Seen};
+use sloeline_routing::pattern::{FieldValue, HostPattern, PathPattern, Request, Route};
 use sloeline_routing::table::Table;
 use sloeline_routing::target::Target;
 
@@ -33,7 +33,7 @@
             b.iter(|| {
                 at = (at + 7919) % paths.len();
                 let target = Target::parse(&paths[at], Some("api.example")).expect("a target");
-                let request = Request { method: "GET", target: &target, header: &|_| Seen::Nothing };
+                let request = Request { method: "GET", target: &target, header: &|_| FieldValue::Missing };
                 black_box(table.find(&request)).expect("a route")
             });
         });
--- a/routing/src/analysis.rs
+++ b/routing/src/analysis.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::pattern::{Condition, HostPattern, Route, Segment, Test};
+use crate::pattern::{Condition, HostPattern, Predicate, Route, Segment};
 
 /// What is wrong with routes; numbers are places in the list.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -12,11 +12,11 @@
     /// No request can meet these two conditions of the route at once.
     Contradiction(usize, usize, usize),
     /// Every request that fits the first goes to one of the others.
-    Covered(usize, BTreeSet<usize>),
+    Shadowed(usize, BTreeSet<usize>),
 }
 
 /// All findings, each once, in the order of the routes.
-pub fn findings(routes: &[Route]) -> Vec<Finding> {
+pub fn analyze(routes: &[Route]) -> Vec<Finding> {
     let mut found = BTreeSet::new();
     for (at, route) in routes.iter().enumerate() {
         let conditions = &route.conditions;
@@ -40,7 +40,7 @@
     for group in groups.values() {
         for (i, &a) in group.iter().enumerate() {
             for &b in &group[i + 1..] {
-                if routes[a].detail() == routes[b].detail() && meet(&routes[a], &routes[b]) {
+                if routes[a].specificity() == routes[b].specificity() && meet(&routes[a], &routes[b]) {
                     found.insert(Finding::Overlap(a.min(b), a.max(b)));
                 }
             }
@@ -53,7 +53,7 @@
         }
     }
     found.extend(
-        covers.into_iter().filter(|(at, _)| !alive.contains(at)).map(|(at, by)| Finding::Covered(at, by)),
+        covers.into_iter().filter(|(at, _)| !alive.contains(at)).map(|(at, by)| Finding::Shadowed(at, by)),
     );
     found.into_iter().collect()
 }
@@ -77,7 +77,8 @@
 
 /// Some request may fit both, host and path being the same.
 fn meet(a: &Route, b: &Route) -> bool {
-    let methods = a.methods.is_empty() || b.methods.is_empty() || a.methods.iter().any(|m| b.takes(m));
+    let methods =
+        a.methods.is_empty() || b.methods.is_empty() || a.methods.iter().any(|m| b.allows_method(m));
     methods && !a.conditions.iter().any(|x| b.conditions.iter().any(|y| x.excludes(y)))
 }
 
@@ -89,8 +90,8 @@
     for &other in group {
         let first = &routes[other];
         let methods = first.methods.is_empty()
-            || !route.methods.is_empty() && route.methods.iter().all(|m| first.takes(m));
-        if other == at || first.detail() <= route.detail() || !methods || !meet(route, first) {
+            || !route.methods.is_empty() && route.methods.iter().all(|m| first.allows_method(m));
+        if other == at || first.specificity() <= route.specificity() || !methods || !meet(route, first) {
             continue;
         }
         let more =
@@ -101,12 +102,13 @@
         return Some(BTreeSet::from([*other]));
     }
     // Present on one side and absent on the other is everything.
-    let single = |test: &Test| {
+    let single = |test: &Predicate| {
         let test = test.clone();
-        beyond.iter().filter(move |(_, more)| more.len() == 1 && more[0].test == test)
+        beyond.iter().filter(move |(_, more)| more.len() == 1 && more[0].predicate == test)
     };
-    for (a, more) in single(&Test::Present) {
-        if let Some((b, _)) = single(&Test::Absent).find(|(_, other)| other[0].place == more[0].place) {
+    for (a, more) in single(&Predicate::Present) {
+        if let Some((b, _)) = single(&Predicate::Absent).find(|(_, other)| other[0].source == more[0].source)
+        {
             return Some(BTreeSet::from([*a, *b]));
         }
     }
@@ -115,18 +117,20 @@
 
 /// Whatever meets the first meets the second.
 fn implies(a: &Condition, b: &Condition) -> bool {
-    a == b || a.place == b.place && matches!((&a.test, &b.test), (Test::Equals(_), Test::Present))
+    a == b
+        || a.source == b.source
+            && matches!((&a.predicate, &b.predicate), (Predicate::Equals(_), Predicate::Present))
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::pattern::{PathPattern, Place};
+    use crate::pattern::{ConditionSource, PathPattern};
 
-    fn route(methods: &[&str], path: &str, conditions: &[(&str, Test)]) -> Route {
+    fn route(methods: &[&str], path: &str, conditions: &[(&str, Predicate)]) -> Route {
         let conditions = conditions.iter().map(|(name, test)| {
-            let place = Place::Header((*name).to_owned());
-            Condition { place, test: test.clone() }
+            let place = ConditionSource::Header((*name).to_owned());
+            Condition { source: place, predicate: test.clone() }
         });
         Route {
             name: path.to_owned(),
@@ -137,48 +141,48 @@
         }
     }
 
-    fn is(value: &str) -> Test {
-        Test::Equals(value.to_owned())
+    fn is(value: &str) -> Predicate {
+        Predicate::Equals(value.to_owned())
     }
 
     #[test]
     fn equals_in_rank_that_one_request_may_fit_are_found_and_no_others() {
         let get = route(&["GET", "HEAD"], "/a/{x}", &[]);
-        assert_eq!(findings(&[get.clone(), route(&["HEAD"], "/a/{y}", &[])]), [Finding::Overlap(0, 1)]);
+        assert_eq!(analyze(&[get.clone(), route(&["HEAD"], "/a/{y}", &[])]), [Finding::Overlap(0, 1)]);
         for other in [
             route(&["POST"], "/a/{y}", &[]),
             route(&[], "/a/{y}", &[]),
             route(&["GET"], "/a/b", &[]),
             route(&["GET"], "/{y}/b", &[]),
-            route(&["GET"], "/a/{y}", &[("h", Test::Present)]),
+            route(&["GET"], "/a/{y}", &[("h", Predicate::Present)]),
         ] {
-            assert_eq!(findings(&[get.clone(), other.clone()]), [], "{other:?}");
+            assert_eq!(analyze(&[get.clone(), other.clone()]), [], "{other:?}");
         }
         let one = |name, test| route(&["GET"], "/a", &[(name, test)]);
-        assert_eq!(findings(&[one("h", is("1")), one("h", is("2"))]), []);
-        assert_eq!(findings(&[one("h", is("1")), one("h", Test::Absent)]), []);
-        assert_eq!(findings(&[one("h", is("1")), one("i", is("1"))]), [Finding::Overlap(0, 1)]);
-        assert_eq!(findings(&[one("h", is("1")), one("h", Test::Present)]), [Finding::Overlap(0, 1)]);
+        assert_eq!(analyze(&[one("h", is("1")), one("h", is("2"))]), []);
+        assert_eq!(analyze(&[one("h", is("1")), one("h", Predicate::Absent)]), []);
+        assert_eq!(analyze(&[one("h", is("1")), one("i", is("1"))]), [Finding::Overlap(0, 1)]);
+        assert_eq!(analyze(&[one("h", is("1")), one("h", Predicate::Present)]), [Finding::Overlap(0, 1)]);
         let mut elsewhere = get.clone();
         elsewhere.hosts = vec![HostPattern::Exact("a".into())];
-        assert_eq!(findings(&[get, elsewhere]), []);
+        assert_eq!(analyze(&[get, elsewhere]), []);
     }
 
     #[test]
     fn routes_that_no_request_reaches_are_found() {
-        let torn = route(&["GET"], "/a", &[("h", is("1")), ("h", Test::Absent)]);
-        assert_eq!(findings(&[torn]), [Finding::Contradiction(0, 0, 1)]);
+        let torn = route(&["GET"], "/a", &[("h", is("1")), ("h", Predicate::Absent)]);
+        assert_eq!(analyze(&[torn]), [Finding::Contradiction(0, 0, 1)]);
         let rest = route(&["GET"], "/a", &[]);
-        let with = route(&["GET", "PUT"], "/a", &[("h", Test::Present)]);
-        let without = route(&["GET"], "/a", &[("h", Test::Absent)]);
+        let with = route(&["GET", "PUT"], "/a", &[("h", Predicate::Present)]);
+        let without = route(&["GET"], "/a", &[("h", Predicate::Absent)]);
         assert_eq!(
-            findings(&[rest.clone(), with.clone(), without]),
-            [Finding::Covered(0, BTreeSet::from([1, 2]))]
+            analyze(&[rest.clone(), with.clone(), without]),
+            [Finding::Shadowed(0, BTreeSet::from([1, 2]))]
         );
-        assert_eq!(findings(&[rest.clone(), with.clone()]), []);
+        assert_eq!(analyze(&[rest.clone(), with.clone()]), []);
         // What asks for a value asks for the header.
         let value = route(&["GET"], "/a", &[("h", is("1"))]);
-        let both = route(&["GET"], "/a", &[("h", Test::Present), ("h", is("1"))]);
-        assert_eq!(findings(&[value, both]), [Finding::Covered(0, BTreeSet::from([1]))]);
+        let both = route(&["GET"], "/a", &[("h", Predicate::Present), ("h", is("1"))]);
+        assert_eq!(analyze(&[value, both]), [Finding::Shadowed(0, BTreeSet::from([1]))]);
     }
 }
--- a/routing/src/pattern.rs
+++ b/routing/src/pattern.rs
@@ -3,7 +3,7 @@
 use std::cmp::Ordering;
 use std::fmt;
 
-use crate::target::{BadTarget, Host, MOST_SEGMENTS, Path, Target};
+use crate::target::{Host, MAX_PATH_SEGMENTS, Path, Target, TargetError};
 
 /// Which hosts a route is for.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -11,23 +11,23 @@
     /// All of them, and requests that name none.
     Any,
     /// All below a name, `*.example` without its first two characters; not the name itself.
-    Below(String),
+    Subdomains(String),
     /// One.
     Exact(String),
 }
 
 impl HostPattern {
     /// Reads `*`, `*.example` or `api.example`; a port has no place in it.
-    pub fn parse(text: &str) -> Result<HostPattern, BadTarget> {
+    pub fn parse(text: &str) -> Result<HostPattern, TargetError> {
         if text == "*" {
             return Ok(HostPattern::Any);
         }
         let name = |text: &str| match Host::parse(text) {
             Ok(host) if host.to_string() == host.name() => Ok(host.name().to_owned()),
-            _ => Err(BadTarget::Host),
+            _ => Err(TargetError::InvalidHost),
         };
         match text.strip_prefix("*.") {
-            Some(rest) => name(rest).map(HostPattern::Below),
+            Some(rest) => name(rest).map(HostPattern::Subdomains),
             None => name(text).map(HostPattern::Exact),
         }
     }
@@ -38,7 +38,7 @@
             (HostPattern::Any, _) => true,
             (_, None) => false,
             (HostPattern::Exact(name), Some(host)) => name == host,
-            (HostPattern::Below(name), Some(host)) => {
+            (HostPattern::Subdomains(name), Some(host)) => {
                 host.strip_suffix(name.as_str()).is_some_and(|h| h.len() > 1 && h.ends_with('.'))
             }
         }
@@ -48,7 +48,7 @@
     pub fn rank(&self) -> (u8, usize) {
         match self {
             HostPattern::Any => (0, 0),
-            HostPattern::Below(name) => (1, name.len()),
+            HostPattern::Subdomains(name) => (1, name.len()),
             HostPattern::Exact(_) => (2, 0),
         }
     }
@@ -58,7 +58,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             HostPattern::Any => f.write_str("*"),
-            HostPattern::Below(name) => write!(f, "*.{name}"),
+            HostPattern::Subdomains(name) => write!(f, "*.{name}"),
             HostPattern::Exact(name) => f.write_str(name),
         }
     }
@@ -75,28 +75,28 @@
 
 /// Why a path pattern makes no sense.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BadPattern {
+pub enum PatternError {
     /// It has no normal form, so that no request could match it.
-    Target(BadTarget),
+    Target(TargetError),
     /// Braces elsewhere than round a whole segment's name.
-    Braces(String),
+    InvalidParameter(String),
     /// A name stands twice.
-    Twice(String),
+    DuplicateParameter(String),
 }
 
-impl fmt::Display for BadPattern {
+impl fmt::Display for PatternError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            BadPattern::Target(why) => write!(f, "no request can match it: {why}"),
-            BadPattern::Braces(segment) => {
+            PatternError::Target(why) => write!(f, "no request can match it: {why}"),
+            PatternError::InvalidParameter(segment) => {
                 write!(f, "{segment:?}: a parameter is a whole segment, {{name}}, of letters, digits and _")
             }
-            BadPattern::Twice(name) => write!(f, "the parameter {name:?} stands twice"),
+            PatternError::DuplicateParameter(name) => write!(f, "the parameter {name:?} stands twice"),
         }
     }
 }
 
-impl std::error::Error for BadPattern {}
+impl std::error::Error for PatternError {}
 
 /// Which paths a route is for. A slash at the end of pattern or path counts for nothing.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -109,32 +109,32 @@
 
 impl PathPattern {
     /// Reads `/checks/{id}`.
-    pub fn parse(text: &str, prefix: bool) -> Result<PathPattern, BadPattern> {
+    pub fn parse(text: &str, prefix: bool) -> Result<PathPattern, PatternError> {
         let mut segments = Vec::new();
-        let inner = text.strip_prefix('/').ok_or(BadPattern::Target(BadTarget::Form))?;
+        let inner = text.strip_prefix('/').ok_or(PatternError::Target(TargetError::UnsupportedForm))?;
         let inner = inner.strip_suffix('/').unwrap_or(inner);
         let parts = if inner.is_empty() { Vec::new() } else { inner.split('/').collect() };
         for part in parts {
             if let Some(name) = part.strip_prefix('{').and_then(|p| p.strip_suffix('}')) {
                 let good = |b: u8| b.is_ascii_alphanumeric() || b == b'_';
                 if name.is_empty() || !name.bytes().all(good) {
-                    return Err(BadPattern::Braces(part.to_owned()));
+                    return Err(PatternError::InvalidParameter(part.to_owned()));
                 }
                 let known = |s: &Segment| matches!(s, Segment::Parameter(n) if n == name);
                 if segments.iter().any(known) {
-                    return Err(BadPattern::Twice(name.to_owned()));
+                    return Err(PatternError::DuplicateParameter(name.to_owned()));
                 }
                 segments.push(Segment::Parameter(name.to_owned()));
             } else if part.contains(['{', '}']) {
-                return Err(BadPattern::Braces(part.to_owned()));
+                return Err(PatternError::InvalidParameter(part.to_owned()));
             } else {
-                let path = Path::parse(&format!("/{part}")).map_err(BadPattern::Target)?;
-                let literal = path.segment(0).ok_or(BadPattern::Target(BadTarget::EmptySegment))?;
+                let path = Path::parse(&format!("/{part}")).map_err(PatternError::Target)?;
+                let literal = path.segment(0).ok_or(PatternError::Target(TargetError::EmptySegment))?;
                 segments.push(Segment::Literal(literal.to_owned()));
             }
         }
-        if segments.len() > MOST_SEGMENTS {
-            return Err(BadPattern::Target(BadTarget::Segments));
+        if segments.len() > MAX_PATH_SEGMENTS {
+            return Err(PatternError::Target(TargetError::TooManySegments));
         }
         Ok(PathPattern { segments, prefix })
     }
@@ -151,18 +151,18 @@
     }
 
     /// Where a parameter stands.
-    pub fn parameter(&self, name: &str) -> Option<usize> {
+    pub fn parameter_index(&self, name: &str) -> Option<usize> {
         self.segments.iter().position(|s| matches!(s, Segment::Parameter(n) if n == name))
     }
 
     /// How many parameters it has.
-    pub fn parameters(&self) -> usize {
+    pub fn parameter_count(&self) -> usize {
         self.segments.iter().filter(|s| matches!(s, Segment::Parameter(_))).count()
     }
 
     /// Of two that match the same path, the more specific is the greater: from left to right a text goes before a
     /// parameter, a parameter before the end of a prefix, and the exact end before that of a prefix.
-    pub fn rank(&self, other: &PathPattern) -> Ordering {
+    pub fn compare_specificity(&self, other: &PathPattern) -> Ordering {
         let kind = |p: &PathPattern, at: usize| match p.segments.get(at) {
             Some(Segment::Literal(_)) => 3,
             Some(Segment::Parameter(_)) => 2,
@@ -207,25 +207,25 @@
 
 /// Where a condition looks.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Place {
+pub enum ConditionSource {
     /// A header, by its name in lower case.
     Header(String),
     /// A parameter of the query, by its decoded name.
     Query(String),
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for ConditionSource {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Place::Header(name) => write!(f, "header {name}"),
-            Place::Query(name) => write!(f, "query parameter {name}"),
+            ConditionSource::Header(name) => write!(f, "header {name}"),
+            ConditionSource::Query(name) => write!(f, "query parameter {name}"),
         }
     }
 }
 
 /// What a condition asks for.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Test {
+pub enum Predicate {
     /// This value.
     Equals(String),
     /// Any value.
@@ -238,30 +238,30 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Condition {
     /// Where it looks.
-    pub place: Place,
+    pub source: ConditionSource,
     /// What it asks for.
-    pub test: Test,
+    pub predicate: Predicate,
 }
 
 impl fmt::Display for Condition {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match &self.test {
-            Test::Equals(value) => write!(f, "{} = {value:?}", self.place),
-            Test::Present => write!(f, "{} present", self.place),
-            Test::Absent => write!(f, "{} absent", self.place),
+        match &self.predicate {
+            Predicate::Equals(value) => write!(f, "{} = {value:?}", self.source),
+            Predicate::Present => write!(f, "{} present", self.source),
+            Predicate::Absent => write!(f, "{} absent", self.source),
         }
     }
 }
 
 /// What stands in a request at a place.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Seen {
+pub enum FieldValue {
     /// Nothing.
-    Nothing,
+    Missing,
     /// One value.
-    One(String),
+    Single(String),
     /// Several, or one that is no text: readers differ on which of them counts.
-    Unclear,
+    Ambiguous,
 }
 
 /// A request, as far as routes look at it.
@@ -271,22 +271,24 @@
     /// Its target.
     pub target: &'a Target,
     /// What stands in a header, by its name in lower case.
-    pub header: &'a dyn Fn(&str) -> Seen,
+    pub header: &'a dyn Fn(&str) -> FieldValue,
 }
 
 impl Request<'_> {
     /// What stands at a place.
-    pub fn seen(&self, place: &Place) -> Seen {
+    pub fn field_value(&self, place: &ConditionSource) -> FieldValue {
         match place {
-            Place::Header(name) => (self.header)(name),
+            ConditionSource::Header(name) => (self.header)(name),
             // Some servers part the pairs at semicolons too.
-            Place::Query(_) if self.target.query.as_ref().is_some_and(|q| q.contains(';')) => Seen::Unclear,
-            Place::Query(name) => {
-                let mut found = self.target.pairs().into_iter().filter(|(n, _)| n == name);
+            ConditionSource::Query(_) if self.target.query.as_ref().is_some_and(|q| q.contains(';')) => {
+                FieldValue::Ambiguous
+            }
+            ConditionSource::Query(name) => {
+                let mut found = self.target.query_pairs().into_iter().filter(|(n, _)| n == name);
                 match (found.next(), found.next()) {
-                    (None, _) => Seen::Nothing,
-                    (Some((_, value)), None) => Seen::One(value),
-                    (Some(_), Some(_)) => Seen::Unclear,
+                    (None, _) => FieldValue::Missing,
+                    (Some((_, value)), None) => FieldValue::Single(value),
+                    (Some(_), Some(_)) => FieldValue::Ambiguous,
                 }
             }
         }
@@ -300,23 +302,23 @@
 
 impl Condition {
     /// Whether a request meets it; nothing where that is unclear.
-    pub fn holds(&self, request: &Request<'_>) -> Option<bool> {
-        match (&self.test, request.seen(&self.place)) {
-            (_, Seen::Unclear) => None,
-            (Test::Equals(wanted), Seen::One(value)) => Some(*wanted == value),
-            (Test::Equals(_), Seen::Nothing) => Some(false),
-            (Test::Present, seen) => Some(seen != Seen::Nothing),
-            (Test::Absent, seen) => Some(seen == Seen::Nothing),
+    pub fn matches(&self, request: &Request<'_>) -> Option<bool> {
+        match (&self.predicate, request.field_value(&self.source)) {
+            (_, FieldValue::Ambiguous) => None,
+            (Predicate::Equals(wanted), FieldValue::Single(value)) => Some(*wanted == value),
+            (Predicate::Equals(_), FieldValue::Missing) => Some(false),
+            (Predicate::Present, seen) => Some(seen != FieldValue::Missing),
+            (Predicate::Absent, seen) => Some(seen == FieldValue::Missing),
         }
     }
 
     /// No request can meet both.
     pub fn excludes(&self, other: &Condition) -> bool {
-        self.place == other.place
-            && match (&self.test, &other.test) {
-                (Test::Absent, Test::Absent) => false,
-                (Test::Absent, _) | (_, Test::Absent) => true,
-                (Test::Equals(a), Test::Equals(b)) => a != b,
+        self.source == other.source
+            && match (&self.predicate, &other.predicate) {
+                (Predicate::Absent, Predicate::Absent) => false,
+                (Predicate::Absent, _) | (_, Predicate::Absent) => true,
+                (Predicate::Equals(a), Predicate::Equals(b)) => a != b,
                 _ => false,
             }
     }
@@ -339,13 +341,13 @@
 
 impl Route {
     /// Whether a method is meant.
-    pub fn takes(&self, method: &str) -> bool {
+    pub fn allows_method(&self, method: &str) -> bool {
         self.methods.is_empty() || self.methods.iter().any(|m| m == method)
     }
 
     /// Of two routes with the same host and path, the greater goes first: one that names methods, then the one
     /// with more conditions.
-    pub fn detail(&self) -> (bool, usize) {
+    pub fn specificity(&self) -> (bool, usize) {
         (!self.methods.is_empty(), self.conditions.len())
     }
 }
--- a/routing/src/split.rs
+++ b/routing/src/split.rs
@@ -6,7 +6,7 @@
 //! method).
 
 /// What the weights of a split add up to.
-pub const WHOLE: u32 = 100;
+pub const TOTAL_WEIGHT: u32 = 100;
 
 /// A weighted choice between numbered sides.
 #[derive(Clone, Debug, PartialEq)]
@@ -26,7 +26,7 @@
     }
 
     /// The side of a key, by its place in the list.
-    pub fn side(&self, key: u64) -> usize {
+    pub fn choose(&self, key: u64) -> usize {
         let score = |&(side, weight): &(u64, f64)| {
             if weight <= 0.0 {
                 return f64::NEG_INFINITY;
@@ -59,7 +59,7 @@
     const KEYS: u64 = 20_000;
 
     fn sides(split: &Split) -> Vec<usize> {
-        (0..KEYS).map(|k| split.side(hash(format!("client-{k}").as_bytes()))).collect()
+        (0..KEYS).map(|k| split.choose(hash(format!("client-{k}").as_bytes()))).collect()
     }
 
     #[test]
--- a/routing/src/table.rs
+++ b/routing/src/table.rs
@@ -11,17 +11,17 @@
 
 use std::collections::{BTreeSet, HashMap};
 
-use crate::pattern::{HostPattern, Place, Request, Route, Segment};
+use crate::pattern::{ConditionSource, HostPattern, Request, Route, Segment};
 
 /// Why a request has no route.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Miss {
+pub enum NoRoute {
     /// No route for this host and path.
-    Nothing,
+    NotFound,
     /// There are routes for the path, for these methods.
-    Method(Vec<String>),
+    MethodNotAllowed(Vec<String>),
     /// A header or parameter on which a route depends stands twice or is no text.
-    Unclear(Place),
+    Ambiguous(ConditionSource),
 }
 
 #[derive(Default)]
@@ -50,15 +50,15 @@
     /// It would have matched, but the one chosen goes first.
     Outranked,
     /// Another host.
-    Host,
+    HostMismatch,
     /// Another path.
-    Path,
+    PathMismatch,
     /// Another method.
-    Method,
+    MethodMismatch,
     /// The condition with this number does not hold.
-    Condition(usize),
+    ConditionFailed(usize),
     /// It cannot be told whether the condition with this number holds.
-    Unclear(usize),
+    ConditionAmbiguous(usize),
 }
 
 impl Table {
@@ -69,14 +69,14 @@
         let mut order: Vec<usize> = (0..routes.len()).collect();
         order.sort_by(|&a, &b| {
             let (a, b) = (&routes[a], &routes[b]);
-            b.detail().cmp(&a.detail()).then_with(|| a.name.cmp(&b.name))
+            b.specificity().cmp(&a.specificity()).then_with(|| a.name.cmp(&b.name))
         });
         for at in order {
             let route = &routes[at];
             for host in &route.hosts {
                 let tree = match host {
                     HostPattern::Any => &mut table.any,
-                    HostPattern::Below(name) => table.below.entry(name.clone()).or_default(),
+                    HostPattern::Subdomains(name) => table.below.entry(name.clone()).or_default(),
                     HostPattern::Exact(name) => table.exact.entry(name.clone()).or_default(),
                 };
                 let mut node = tree;
@@ -102,7 +102,7 @@
     }
 
     /// The route of a request.
-    pub fn find(&self, request: &Request<'_>) -> Result<usize, Miss> {
+    pub fn find(&self, request: &Request<'_>) -> Result<usize, NoRoute> {
         let mut walk = Walk {
             routes: &self.routes,
             request,
@@ -113,14 +113,14 @@
             match walk.visit(tree, 0) {
                 Ok(Some(route)) => return Ok(route),
                 Ok(None) => {}
-                Err(place) => return Err(Miss::Unclear(place)),
+                Err(place) => return Err(NoRoute::Ambiguous(place)),
             }
         }
         let methods = walk.methods;
         Err(if methods.is_empty() {
-            Miss::Nothing
+            NoRoute::NotFound
         } else {
-            Miss::Method(methods.into_iter().map(str::to_owned).collect())
+            NoRoute::MethodNotAllowed(methods.into_iter().map(str::to_owned).collect())
         })
     }
 
@@ -156,19 +156,19 @@
         return Verdict::Chosen;
     }
     if !route.hosts.iter().any(|h| h.matches(request.host())) {
-        return Verdict::Host;
+        return Verdict::HostMismatch;
     }
     if !route.path.matches(&request.target.path) {
-        return Verdict::Path;
+        return Verdict::PathMismatch;
     }
-    if !route.takes(request.method) {
-        return Verdict::Method;
+    if !route.allows_method(request.method) {
+        return Verdict::MethodMismatch;
     }
     for (at, condition) in route.conditions.iter().enumerate() {
-        match condition.holds(request) {
+        match condition.matches(request) {
             Some(true) => {}
-            Some(false) => return Verdict::Condition(at),
-            None => return Verdict::Unclear(at),
+            Some(false) => return Verdict::ConditionFailed(at),
+            None => return Verdict::ConditionAmbiguous(at),
         }
     }
     Verdict::Outranked
@@ -183,7 +183,7 @@
 }
 
 impl<'a> Walk<'a> {
-    fn visit(&mut self, node: &'a Node, at: usize) -> Result<Option<usize>, Place> {
+    fn visit(&mut self, node: &'a Node, at: usize) -> Result<Option<usize>, ConditionSource> {
         match self.segments.get(at).copied() {
             None => {
                 if let Some(found) = self.first(&node.exact)? {
@@ -204,16 +204,16 @@
 
     /// The first route of a list whose method and conditions fit. A condition that cannot be told ends the search:
     /// guards against a request that one reader takes for the safe operation and another for the unsafe one.
-    fn first(&mut self, list: &'a [usize]) -> Result<Option<usize>, Place> {
+    fn first(&mut self, list: &'a [usize]) -> Result<Option<usize>, ConditionSource> {
         for &at in list {
             let route = &self.routes[at];
-            if !route.takes(self.request.method) {
+            if !route.allows_method(self.request.method) {
                 self.methods.extend(route.methods.iter().map(String::as_str));
                 continue;
             }
             let mut holds = true;
             for condition in &route.conditions {
-                holds &= condition.holds(self.request).ok_or_else(|| condition.place.clone())?;
+                holds &= condition.matches(self.request).ok_or_else(|| condition.source.clone())?;
             }
             if holds {
                 return Ok(Some(at));
--- a/routing/src/target.rs
+++ b/routing/src/target.rs
@@ -9,56 +9,58 @@
 use std::fmt;
 
 /// Most segments of a path: bounds the walk through the routes.
-pub const MOST_SEGMENTS: usize = 64;
+pub const MAX_PATH_SEGMENTS: usize = 64;
 /// Most pairs of a query that are looked at: bounds the work for one request.
-pub const MOST_PAIRS: usize = 256;
+pub const MAX_QUERY_PAIRS: usize = 256;
 
 /// Why a target has no normal form.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BadTarget {
+pub enum TargetError {
     /// Not `/path` and not `http://host/path`.
-    Form,
+    UnsupportedForm,
     /// A character that no path may hold (RFC 3986 section 3.3).
-    Character,
+    InvalidCharacter,
     /// `%` without two hexadecimal digits.
-    Percent,
+    InvalidPercentEncoding,
     /// `.` or `..`, plain or encoded.
-    Dots,
+    DotSegment,
     /// `//` within the path.
     EmptySegment,
     /// An encoded delimiter or control character, or an encoding of an encoding.
-    Encoded,
+    EncodedDelimiter,
     /// A path parameter.
-    Semicolon,
+    PathParameter,
     /// Too many segments.
-    Segments,
+    TooManySegments,
     /// No host, several, or one that cannot be read.
-    Host,
+    InvalidHost,
     /// The target's own host is not that of the `Host` line.
-    OtherHost,
+    HostMismatch,
     /// A query that cannot be read.
-    Query,
+    InvalidQuery,
 }
 
-impl fmt::Display for BadTarget {
+impl fmt::Display for TargetError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            BadTarget::Form => "the target is neither a path nor a whole http address",
-            BadTarget::Character => "the path holds a character that must be encoded",
-            BadTarget::Percent => "% without two hexadecimal digits",
-            BadTarget::Dots => "the path holds . or .. as a segment",
-            BadTarget::EmptySegment => "the path holds an empty segment",
-            BadTarget::Encoded => "the path holds an encoded delimiter, control character or second encoding",
-            BadTarget::Semicolon => "the path holds a parameter (;)",
-            BadTarget::Segments => "the path has too many segments",
-            BadTarget::Host => "there must be one readable Host",
-            BadTarget::OtherHost => "the target names another host than Host",
-            BadTarget::Query => "the query cannot be read",
+            TargetError::UnsupportedForm => "the target is neither a path nor a whole http address",
+            TargetError::InvalidCharacter => "the path holds a character that must be encoded",
+            TargetError::InvalidPercentEncoding => "% without two hexadecimal digits",
+            TargetError::DotSegment => "the path holds . or .. as a segment",
+            TargetError::EmptySegment => "the path holds an empty segment",
+            TargetError::EncodedDelimiter => {
+                "the path holds an encoded delimiter, control character or second encoding"
+            }
+            TargetError::PathParameter => "the path holds a parameter (;)",
+            TargetError::TooManySegments => "the path has too many segments",
+            TargetError::InvalidHost => "there must be one readable Host",
+            TargetError::HostMismatch => "the target names another host than Host",
+            TargetError::InvalidQuery => "the query cannot be read",
         })
     }
 }
 
-impl std::error::Error for BadTarget {}
+impl std::error::Error for TargetError {}
 
 /// A path in normal form.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -83,10 +85,10 @@
 
 impl Path {
     /// The normal form of a path as it came, without its query.
-    pub fn parse(raw: &str) -> Result<Path, BadTarget> {
+    pub fn parse(raw: &str) -> Result<Path, TargetError> {
         let bytes = raw.as_bytes();
         if bytes.first() != Some(&b'/') {
-            return Err(BadTarget::Form);
+            return Err(TargetError::UnsupportedForm);
         }
         let mut text = String::with_capacity(raw.len());
         let mut at = 0;
@@ -94,17 +96,19 @@
             let byte = bytes[at];
             at += 1;
             match byte {
-                b';' => return Err(BadTarget::Semicolon),
+                b';' => return Err(TargetError::PathParameter),
                 b'%' => {
                     let digits =
                         (bytes.get(at).copied().and_then(hex), bytes.get(at + 1).copied().and_then(hex));
-                    let (Some(high), Some(low)) = digits else { return Err(BadTarget::Percent) };
+                    let (Some(high), Some(low)) = digits else {
+                        return Err(TargetError::InvalidPercentEncoding);
+                    };
                     at += 2;
                     let encoded = high * 16 + low;
                     if unreserved(encoded) {
                         text.push(encoded as char);
                     } else if encoded.is_ascii_control() || b"/\\;?#".contains(&encoded) {
-                        return Err(BadTarget::Encoded);
+                        return Err(TargetError::EncodedDelimiter);
                     } else {
                         let digit =
                             |d: u8| char::from_digit(u32::from(d), 16).map(|c| c.to_ascii_uppercase());
@@ -113,7 +117,7 @@
                     }
                 }
                 _ if plain(byte) => text.push(byte as char),
-                _ => return Err(BadTarget::Character),
+                _ => return Err(TargetError::InvalidCharacter),
             }
         }
         // Looked for in what came of the first decoding: it may have made the digits.
@@ -121,21 +125,21 @@
             text.as_bytes().get(at + 3..at + 5).is_some_and(|d| d.iter().all(u8::is_ascii_hexdigit))
         };
         if text.match_indices("%25").any(|(at, _)| twice(at)) {
-            return Err(BadTarget::Encoded);
+            return Err(TargetError::EncodedDelimiter);
         }
         let mut segments = Vec::new();
         let mut from = 1;
         while from < text.len() {
             let to = text[from..].find('/').map_or(text.len(), |n| from + n);
             match &text[from..to] {
-                "" => return Err(BadTarget::EmptySegment),
-                "." | ".." => return Err(BadTarget::Dots),
+                "" => return Err(TargetError::EmptySegment),
+                "." | ".." => return Err(TargetError::DotSegment),
                 _ => segments.push((from, to)),
             }
             from = to + 1;
         }
-        if segments.len() > MOST_SEGMENTS {
-            return Err(BadTarget::Segments);
+        if segments.len() > MAX_PATH_SEGMENTS {
+            return Err(TargetError::TooManySegments);
         }
         Ok(Path { text, segments })
     }
@@ -175,11 +179,11 @@
 
 impl Host {
     /// Reads `name`, `name:port` or `[address]:port` (RFC 3986 section 3.2.2; no user, no encoding).
-    pub fn parse(raw: &str) -> Result<Host, BadTarget> {
+    pub fn parse(raw: &str) -> Result<Host, TargetError> {
         let (name, port) = match raw.strip_prefix('[') {
             Some(rest) => {
-                let (address, port) = rest.split_once(']').ok_or(BadTarget::Host)?;
-                let address: std::net::Ipv6Addr = address.parse().map_err(|_| BadTarget::Host)?;
+                let (address, port) = rest.split_once(']').ok_or(TargetError::InvalidHost)?;
+                let address: std::net::Ipv6Addr = address.parse().map_err(|_| TargetError::InvalidHost)?;
                 (format!("[{address}]"), port)
             }
             None => {
@@ -189,7 +193,7 @@
                     !l.is_empty() && l.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_')
                 };
                 if name.len() > 253 || !name.split('.').all(label) {
-                    return Err(BadTarget::Host);
+                    return Err(TargetError::InvalidHost);
                 }
                 (name, port)
             }
@@ -198,9 +202,9 @@
             None if port.is_empty() => None,
             Some("") => None,
             Some(digits) if digits.bytes().all(|b| b.is_ascii_digit()) => {
-                Some(digits.parse().map_err(|_| BadTarget::Host)?)
+                Some(digits.parse().map_err(|_| TargetError::InvalidHost)?)
             }
-            _ => return Err(BadTarget::Host),
+            _ => return Err(TargetError::InvalidHost),
         };
         Ok(Host { name, port })
     }
@@ -237,7 +241,7 @@
 
 impl Target {
     /// Reads a request target (RFC 9112 section 3.2) and the `Host` line. A whole address must name the same host.
-    pub fn parse(target: &str, host: Option<&str>) -> Result<Target, BadTarget> {
+    pub fn parse(target: &str, host: Option<&str>) -> Result<Target, TargetError> {
         let host = host.map(Host::parse).transpose()?;
         let scheme = target.get(..7).is_some_and(|s| s.eq_ignore_ascii_case("http://"));
         let (own, rest) = if scheme {
@@ -249,12 +253,12 @@
         };
         let host = match (own, host) {
             (Some(own), Some(host)) if (own.name(), own.port()) != (host.name(), host.port()) => {
-                return Err(BadTarget::OtherHost);
+                return Err(TargetError::HostMismatch);
             }
             (own, host) => own.or(host),
         };
         if rest.contains('#') {
-            return Err(BadTarget::Character);
+            return Err(TargetError::InvalidCharacter);
         }
         let (path, query) = match rest.split_once('?') {
             Some((path, query)) => (path, Some(query)),
@@ -268,7 +272,7 @@
     }
 
     /// Path and query, as they are forwarded.
-    pub fn forwarded(&self) -> String {
+    pub fn path_and_query(&self) -> String {
         match &self.query {
             Some(query) => format!("{}?{query}", self.path.as_str()),
             None => self.path.as_str().to_owned(),
@@ -276,42 +280,42 @@
     }
 
     /// The pairs of the query, decoded.
-    pub fn pairs(&self) -> Vec<(String, String)> {
+    pub fn query_pairs(&self) -> Vec<(String, String)> {
         self.query.as_deref().and_then(|q| pairs(q).ok()).unwrap_or_default()
     }
 }
 
 /// The pairs of a query, as forms write them; `+` is a space. Semicolons do not part pairs, and what cannot be
 /// decoded into text is an error, since another reader would find another name there.
-fn pairs(query: &str) -> Result<Vec<(String, String)>, BadTarget> {
+fn pairs(query: &str) -> Result<Vec<(String, String)>, TargetError> {
     let parts = query.split('&').filter(|p| !p.is_empty());
     let read = |part: &str| {
         let (name, value) = part.split_once('=').unwrap_or((part, ""));
-        Ok((decoded(&name.replace('+', " "))?, decoded(&value.replace('+', " "))?))
+        Ok((percent_decode(&name.replace('+', " "))?, percent_decode(&value.replace('+', " "))?))
     };
-    let pairs: Vec<_> = parts.take(MOST_PAIRS + 1).map(read).collect::<Result<_, _>>()?;
-    if pairs.len() > MOST_PAIRS { Err(BadTarget::Query) } else { Ok(pairs) }
+    let pairs: Vec<_> = parts.take(MAX_QUERY_PAIRS + 1).map(read).collect::<Result<_, _>>()?;
+    if pairs.len() > MAX_QUERY_PAIRS { Err(TargetError::InvalidQuery) } else { Ok(pairs) }
 }
 
 /// Text with its percent signs decoded.
-pub fn decoded(text: &str) -> Result<String, BadTarget> {
+pub fn percent_decode(text: &str) -> Result<String, TargetError> {
     let bytes = text.as_bytes();
     let mut out = Vec::with_capacity(bytes.len());
     let mut at = 0;
     while at < bytes.len() {
         if bytes[at] == b'%' {
             let digits = (bytes.get(at + 1).copied().and_then(hex), bytes.get(at + 2).copied().and_then(hex));
-            let (Some(high), Some(low)) = digits else { return Err(BadTarget::Query) };
+            let (Some(high), Some(low)) = digits else { return Err(TargetError::InvalidQuery) };
             out.push(high * 16 + low);
             at += 3;
         } else if bytes[at].is_ascii_control() || bytes[at] == b' ' && !text.contains(' ') {
-            return Err(BadTarget::Query);
+            return Err(TargetError::InvalidQuery);
         } else {
             out.push(bytes[at]);
             at += 1;
         }
     }
-    String::from_utf8(out).map_err(|_| BadTarget::Query)
+    String::from_utf8(out).map_err(|_| TargetError::InvalidQuery)
 }
 
 #[cfg(test)]
@@ -338,36 +342,39 @@
     #[test]
     fn what_two_readers_understand_differently_has_none() {
         for (raw, why) in [
-            ("", BadTarget::Form),
-            ("checks", BadTarget::Form),
-            ("*", BadTarget::Form),
-            ("/a/../b", BadTarget::Dots),
-            ("/a/%2e%2E/b", BadTarget::Dots),
-            ("/a/.%2e/b", BadTarget::Dots),
-            ("/a/./b", BadTarget::Dots),
-            ("/a/..", BadTarget::Dots),
-            ("//a", BadTarget::EmptySegment),
-            ("/a//b", BadTarget::EmptySegment),
-            ("/a//", BadTarget::EmptySegment),
-            ("/a%2Fb", BadTarget::Encoded),
-            ("/a%5cb", BadTarget::Encoded),
-            ("/a%00", BadTarget::Encoded),
-            ("/a%3bv=1", BadTarget::Encoded),
-            ("/a%3Fb", BadTarget::Encoded),
-            ("/a%23", BadTarget::Encoded),
-            ("/%252e%252e/b", BadTarget::Encoded),
-            ("/%25%32e", BadTarget::Encoded),
-            ("/a;v=1/b", BadTarget::Semicolon),
-            ("/a\\b", BadTarget::Character),
-            ("/a b", BadTarget::Character),
-            ("/a\u{e9}", BadTarget::Character),
-            ("/a%", BadTarget::Percent),
-            ("/a%4", BadTarget::Percent),
-            ("/a%zz", BadTarget::Percent),
+            ("", TargetError::UnsupportedForm),
+            ("checks", TargetError::UnsupportedForm),
+            ("*", TargetError::UnsupportedForm),
+            ("/a/../b", TargetError::DotSegment),
+            ("/a/%2e%2E/b", TargetError::DotSegment),
+            ("/a/.%2e/b", TargetError::DotSegment),
+            ("/a/./b", TargetError::DotSegment),
+            ("/a/..", TargetError::DotSegment),
+            ("//a", TargetError::EmptySegment),
+            ("/a//b", TargetError::EmptySegment),
+            ("/a//", TargetError::EmptySegment),
+            ("/a%2Fb", TargetError::EncodedDelimiter),
+            ("/a%5cb", TargetError::EncodedDelimiter),
+            ("/a%00", TargetError::EncodedDelimiter),
+            ("/a%3bv=1", TargetError::EncodedDelimiter),
+            ("/a%3Fb", TargetError::EncodedDelimiter),
+            ("/a%23", TargetError::EncodedDelimiter),
+            ("/%252e%252e/b", TargetError::EncodedDelimiter),
+            ("/%25%32e", TargetError::EncodedDelimiter),
+            ("/a;v=1/b", TargetError::PathParameter),
+            ("/a\\b", TargetError::InvalidCharacter),
+            ("/a b", TargetError::InvalidCharacter),
+            ("/a\u{e9}", TargetError::InvalidCharacter),
+            ("/a%", TargetError::InvalidPercentEncoding),
+            ("/a%4", TargetError::InvalidPercentEncoding),
+            ("/a%zz", TargetError::InvalidPercentEncoding),
         ] {
             assert_eq!(Path::parse(raw).err(), Some(why), "{raw}");
         }
-        assert_eq!(Path::parse(&"/a".repeat(MOST_SEGMENTS + 1)).err(), Some(BadTarget::Segments));
+        assert_eq!(
+            Path::parse(&"/a".repeat(MAX_PATH_SEGMENTS + 1)).err(),
+            Some(TargetError::TooManySegments)
+        );
     }
 
     #[test]
@@ -377,7 +384,7 @@
         assert_eq!(name("api.example:8080"), Ok("api.example:8080".to_owned()));
         assert_eq!(name("[0:0::1]:80"), Ok("[::1]:80".to_owned()));
         for bad in ["", ".", "a..b", "a b", "u@a", "a:x", "a:99999", "a:1:2", "[::1", "a/b", "a,b", "%61"] {
-            assert_eq!(name(bad), Err(BadTarget::Host), "{bad:?}");
+            assert_eq!(name(bad), Err(TargetError::InvalidHost), "{bad:?}");
         }
     }
 
@@ -394,20 +401,20 @@
         }
         assert_eq!(read("http://api.example", Some("api.example")), Ok((own.clone(), "/".to_owned())));
         assert_eq!(read("/a", None), Ok((None, "/a".to_owned())));
-        assert_eq!(read("http://other/a", Some("api.example")), Err(BadTarget::OtherHost));
-        assert_eq!(read("http://api.example:81/a", Some("api.example")), Err(BadTarget::OtherHost));
-        assert_eq!(read("http://u@api.example/a", Some("api.example")), Err(BadTarget::Host));
-        assert_eq!(read("https://api.example/a", Some("api.example")), Err(BadTarget::Form));
-        assert_eq!(read("api.example:443", Some("api.example")), Err(BadTarget::Form));
+        assert_eq!(read("http://other/a", Some("api.example")), Err(TargetError::HostMismatch));
+        assert_eq!(read("http://api.example:81/a", Some("api.example")), Err(TargetError::HostMismatch));
+        assert_eq!(read("http://u@api.example/a", Some("api.example")), Err(TargetError::InvalidHost));
+        assert_eq!(read("https://api.example/a", Some("api.example")), Err(TargetError::UnsupportedForm));
+        assert_eq!(read("api.example:443", Some("api.example")), Err(TargetError::UnsupportedForm));
     }
 
     #[test]
     fn queries_are_decoded_and_go_on_as_they_came() {
         let target = Target::parse("/a?%76=1+2&w=%3D&x&&y=", None).expect("a target");
-        let pairs = target.pairs();
+        let pairs = target.query_pairs();
         let pairs: Vec<_> = pairs.iter().map(|(n, v)| (n.as_str(), v.as_str())).collect();
         assert_eq!(pairs, [("v", "1 2"), ("w", "="), ("x", ""), ("y", "")]);
-        assert_eq!(target.forwarded(), "/a?%76=1+2&w=%3D&x&&y=");
+        assert_eq!(target.path_and_query(), "/a?%76=1+2&w=%3D&x&&y=");
         for bad in ["/a?b=%", "/a?b=%zz", "/a?b=%ff", "/a#b", "/a?b#c"] {
             assert!(Target::parse(bad, None).is_err(), "{bad}");
         }
--- a/routing/tests/forms.rs
+++ b/routing/tests/forms.rs
@@ -68,8 +68,8 @@
         let _ = Host::parse(&text);
         for target in [text.clone(), format!("http://{text}"), format!("/{text}")] {
             if let Ok(target) = Target::parse(&target, Some("a")) {
-                target.pairs();
-                assert!(target.forwarded().starts_with('/'));
+                target.query_pairs();
+                assert!(target.path_and_query().starts_with('/'));
             }
         }
     }
--- a/routing/tests/reference.rs
+++ b/routing/tests/reference.rs
@@ -4,9 +4,11 @@
 use std::cmp::Ordering;
 
 use fastrand::Rng;
-use sloeline_routing::analysis::{Finding, findings};
-use sloeline_routing::pattern::{Condition, HostPattern, PathPattern, Place, Request, Route, Seen, Test};
-use sloeline_routing::table::{Miss, Table, Verdict};
+use sloeline_routing::analysis::{Finding, analyze};
+use sloeline_routing::pattern::{
+    Condition, ConditionSource, FieldValue, HostPattern, PathPattern, Predicate, Request, Route,
+};
+use sloeline_routing::table::{NoRoute, Table, Verdict};
 use sloeline_routing::target::Target;
 
 const WORDS: [&str; 4] = ["checks", "files", "a", "b"];
@@ -45,13 +47,13 @@
     }
     let conditions = (0..rng.usize(0..3)).map(|_| {
         let name = (rng.choice(["h", "i"]).unwrap()).to_owned();
-        let place = if rng.bool() { Place::Header(name) } else { Place::Query(name) };
+        let place = if rng.bool() { ConditionSource::Header(name) } else { ConditionSource::Query(name) };
         let test = match rng.usize(0..4) {
-            0 => Test::Present,
-            1 => Test::Absent,
-            n => Test::Equals(n.to_string()),
+            0 => Predicate::Present,
+            1 => Predicate::Absent,
+            n => Predicate::Equals(n.to_string()),
         };
-        Condition { place, test }
+        Condition { source: place, predicate: test }
     });
     Route {
         name: format!("r{number:05}"),
@@ -66,9 +68,9 @@
 fn routes(rng: &mut Rng, count: usize) -> Vec<Route> {
     let mut routes: Vec<Route> = (0..count).map(|n| route(rng, n)).collect();
     loop {
-        let clash = findings(&routes).into_iter().find_map(|f| match f {
+        let clash = analyze(&routes).into_iter().find_map(|f| match f {
             Finding::Overlap(_, b) | Finding::Contradiction(b, ..) => Some(b),
-            Finding::Covered(..) => None,
+            Finding::Shadowed(..) => None,
         });
         match clash {
             Some(at) => drop(routes.remove(at)),
@@ -80,7 +82,10 @@
 /// The rank of a route for a host, compared by the rules as the page states them.
 fn before(a: &Route, b: &Route, host: Option<&str>) -> Ordering {
     let host = |r: &Route| r.hosts.iter().filter(|h| h.matches(host)).map(HostPattern::rank).max();
-    host(a).cmp(&host(b)).then_with(|| a.path.rank(&b.path)).then_with(|| a.detail().cmp(&b.detail()))
+    host(a)
+        .cmp(&host(b))
+        .then_with(|| a.path.compare_specificity(&b.path))
+        .then_with(|| a.specificity().cmp(&b.specificity()))
 }
 
 /// The best of those that match; nothing where a condition is unclear, which the table answers by an error.
@@ -89,11 +94,11 @@
     for (at, route) in routes.iter().enumerate() {
         let fits = route.hosts.iter().any(|h| h.matches(request.host()))
             && route.path.matches(&request.target.path)
-            && route.takes(request.method);
+            && route.allows_method(request.method);
         if !fits {
             continue;
         }
-        let holds: Option<Vec<bool>> = route.conditions.iter().map(|c| c.holds(request)).collect();
+        let holds: Option<Vec<bool>> = route.conditions.iter().map(|c| c.matches(request)).collect();
         if holds?.iter().all(|h| *h) && best.is_none_or(|b| before(route, &routes[b], request.host()).is_gt())
         {
             best = Some(at);
@@ -121,15 +126,15 @@
             let target =
                 Target::parse(&format!("{path}{query}"), rng.choice(ASKED).unwrap()).expect("a target");
             let value = match rng.usize(0..4) {
-                0 => Seen::Nothing,
-                1 => Seen::Unclear,
-                n => Seen::One(n.to_string()),
+                0 => FieldValue::Missing,
+                1 => FieldValue::Ambiguous,
+                n => FieldValue::Single(n.to_string()),
             };
-            let header = |name: &str| if name == "h" { value.clone() } else { Seen::Nothing };
+            let header = |name: &str| if name == "h" { value.clone() } else { FieldValue::Missing };
             let method = rng.choice(METHODS).unwrap();
             let request = Request { method, target: &target, header: &header };
             let got = table.find(&request);
-            let name = |list: &[Route], at: Result<usize, Miss>| at.map(|at| list[at].name.clone());
+            let name = |list: &[Route], at: Result<usize, NoRoute>| at.map(|at| list[at].name.clone());
             assert_eq!(name(&routes, got.clone()), name(&turned, other.find(&request)), "the order counts");
             match reference(&routes, &request) {
                 Some(expected) => {
@@ -171,8 +176,8 @@
             pair[1].methods = pair[0].methods.clone();
             pair.iter_mut().for_each(|route| route.conditions.clear());
         }
-        let said = findings(&pair).iter().any(|f| matches!(f, Finding::Overlap(..)));
-        let torn = findings(&pair).iter().any(|f| matches!(f, Finding::Contradiction(..)));
+        let said = analyze(&pair).iter().any(|f| matches!(f, Finding::Overlap(..)));
+        let torn = analyze(&pair).iter().any(|f| matches!(f, Finding::Contradiction(..)));
         // Every request that these routes can tell apart.
         let mut seen = false;
         let paths =
@@ -189,8 +194,8 @@
                         let text = format!("{path}?{}{}", query("h", qh), query("i", qi));
                         let target = Target::parse(&text, host).expect("a target");
                         let header = |name: &str| match if name == "h" { h } else { i } {
-                            0 => Seen::Nothing,
-                            n => Seen::One(n.to_string()),
+                            0 => FieldValue::Missing,
+                            n => FieldValue::Single(n.to_string()),
                         };
                         for method in METHODS {
                             let request = Request { method, target: &target, header: &header };
--- a/sloeline/src/daemon/control.rs
+++ b/sloeline/src/daemon/control.rs
@@ -332,13 +332,13 @@
 
     /// What each pool may take up, and what it does.
     fn budgets(&self) -> Value {
-        let share = |share: &Share| json!([share.used(), share.own(), share.borrowed()]);
+        let share = |share: &Share| json!([share.used(), share.guaranteed(), share.borrowed()]);
         let pools: Vec<Value> = self
             .pools
             .iter()
             .map(|(name, running)| {
                 let pool = &running.pool;
-                let (open, rate) = pool.bound.bounds();
+                let (open, rate) = pool.bound.limits();
                 json!({
                     "pool": name,
                     "open_used_own_borrowed": share(&pool.open),
@@ -375,9 +375,9 @@
             "listeners": listeners,
             "pools": self.pools.len(),
             "routes": self.config.routes.len(),
-            "ready": engines().all(|engine| engine.listed()),
+            "ready": engines().all(|engine| engine.has_list()),
             "orders": self.orders.borrow().standing(),
-            "open_requests": engines().map(|engine| engine.open()).sum::<usize>(),
+            "open_requests": engines().map(|engine| engine.open_requests()).sum::<usize>(),
         })
     }
 
--- a/sloeline/src/daemon/fleet.rs
+++ b/sloeline/src/daemon/fleet.rs
@@ -274,7 +274,7 @@
         for (name, running) in &self.pools {
             let pool = &running.pool;
             let Some(may) = part.fleet.may(name) else { continue };
-            let (asked, now) = (pool.fleet.asked(), Instant::now());
+            let (asked, now) = (pool.fleet.offered(), Instant::now());
             let share = part.shares.entry(name.clone()).or_insert(Share { asked, at: now, rate: 0.0 });
             let span = now.duration_since(share.at).as_secs_f64();
             if span > 0.0 {
--- a/sloeline/src/daemon/orders.rs
+++ b/sloeline/src/daemon/orders.rs
@@ -167,8 +167,8 @@
         to.out.extend(self.kept_out().into_iter().filter(|(pool, _)| self.pools.contains_key(pool)));
         for step in orders.carried.towards(&to) {
             match step {
-                Step::Out(pool, node) => self.pools[&pool].pool.engine.order_out(&node),
-                Step::Back(pool, node) => _ = self.pools[&pool].pool.engine.put_back(&node),
+                Step::Out(pool, node) => self.pools[&pool].pool.engine.replicate_maintenance(&node),
+                Step::Back(pool, node) => _ = self.pools[&pool].pool.engine.exit_maintenance(&node),
                 Step::Bound(pool, bound) => {
                     let pool = &self.pools[&pool].pool;
                     let Bound { open, rate } = bound.unwrap_or_default();
@@ -200,13 +200,13 @@
                     continue;
                 }
                 let (engine, listed) = (running.pool.engine.clone(), running.listed());
-                engine.order_out(&node);
+                engine.replicate_maintenance(&node);
                 let (orders, node) = (Rc::clone(&self.orders), node.clone());
                 spawn_local(async move {
                     listed.await;
                     // Ordered out again meanwhile?
                     if !orders.borrow().carried.out.contains(&key) {
-                        engine.put_back(&node);
+                        engine.exit_maintenance(&node);
                     }
                 });
             }
@@ -331,7 +331,8 @@
 
     /// The pools, of one or of all, whose lists have named a node.
     fn meets(&self, node: &str, pool: Option<&str>) -> Result<Vec<String>, String> {
-        let in_pools = self.only(pool)?.into_iter().filter(|name| self.pools[*name].pool.engine.met(node));
+        let in_pools =
+            self.only(pool)?.into_iter().filter(|name| self.pools[*name].pool.engine.ever_listed(node));
         let in_pools: Vec<String> = in_pools.cloned().collect();
         if in_pools.is_empty() {
             return Err(format!("found node {node:?}, expected the name of one that is listed"));
@@ -367,7 +368,7 @@
                 let empty = async {
                     for (pool, engine) in engines {
                         let tell = |carries| _ = to.more(json!({"pool": pool, "carries": carries}));
-                        engine.carried(&node, tell).await;
+                        engine.watch_in_flight(&node, tell).await;
                     }
                 };
                 // Whoever asked may leave; the order stands.
--- a/sloeline/src/daemon/pools.rs
+++ b/sloeline/src/daemon/pools.rs
@@ -12,13 +12,13 @@
 use hyper::header::{HeaderName, HeaderValue};
 use serde_json::{Value, json};
 use sloeline_config::model::{Config, Instance, Nodes, Origin, Place, Pool as Wanted, Seat};
-use sloeline_engine::core::{Stage, Standing};
+use sloeline_engine::core::{RequestStatus, Stage};
 use sloeline_engine::engine::Engine;
-use sloeline_engine::types::Listed;
+use sloeline_engine::types::DiscoveryEntry;
 use sloeline_events::tell;
 use sloeline_http::routed::Pool;
 use sloeline_http::upstream::{Dialect, Upstreams};
-use sloeline_limits::bound::Bound;
+use sloeline_limits::admission::AdmissionLimit;
 use sloeline_limits::{Reserve, Share};
 use sloeline_membership::file::{self, Watched};
 use sloeline_membership::follow::Following;
@@ -30,7 +30,7 @@
 use crate::members;
 use crate::net::Net;
 use crate::origins;
-use sloeline_engine::slots::{Assigned, Slot, assign};
+use sloeline_engine::slots::{Assignment, ClassSlot, assign};
 
 /// What all pools share beyond their own parts.
 pub struct Reserves {
@@ -72,7 +72,7 @@
     /// As routes see it.
     pub pool: Rc<Pool<Net>>,
     /// The numbers of its classes.
-    pub slots: Vec<Slot>,
+    pub slots: Vec<ClassSlot>,
     config: Wanted,
     connections: Rc<Share>,
     source: Source,
@@ -88,14 +88,14 @@
 
 /// What a pool needs to be made or changed, found out before anything is.
 pub struct Plan {
-    wanted: Vec<Slot>,
-    assigned: Assigned,
+    wanted: Vec<ClassSlot>,
+    assigned: Assignment,
     settings: fs::Settings,
     dialect: Dialect,
     tenants: HashMap<String, fs::TenantId>,
     config: Wanted,
     /// The list of a file, where it was not read before.
-    list: Option<Vec<Listed>>,
+    list: Option<Vec<DiscoveryEntry>>,
     file: Option<PathBuf>,
     folder: PathBuf,
     instance: Instance,
@@ -161,9 +161,10 @@
     ) -> Result<Plan, String> {
         let named = |why: String| format!("pool.{name}: {why}");
         let pool = config.pools.get(name).ok_or_else(|| named("not configured".to_owned()))?;
-        let slot =
-            |n: &&str| config.classes.get(*n).map(|c| Slot { name: (*n).to_owned(), class: c.class.clone() });
-        let mut wanted: Vec<Slot> = classes.into_iter().flatten().filter_map(slot).collect();
+        let slot = |n: &&str| {
+            config.classes.get(*n).map(|c| ClassSlot { name: (*n).to_owned(), class: c.class.clone() })
+        };
+        let mut wanted: Vec<ClassSlot> = classes.into_iter().flatten().filter_map(slot).collect();
         if wanted.is_empty() {
             // No route leads here yet; the module wants a class all the same.
             let class = fs::Class {
@@ -175,7 +176,7 @@
                 late_worth: 0.0,
                 stream: false,
             };
-            wanted.push(Slot { name: String::new(), class });
+            wanted.push(ClassSlot { name: String::new(), class });
         }
         let assigned = match before {
             Some(running) => assign(&running.slots, &wanted, |at| running.pool.uses(at)),
@@ -217,7 +218,7 @@
 
     /// The numbers of the pool's classes, by name.
     pub fn numbers(&self) -> HashMap<String, fs::ClassId> {
-        self.assigned.numbers.iter().map(|&at| (self.assigned.slots[at].name.clone(), at)).collect()
+        self.assigned.class_ids.iter().map(|&at| (self.assigned.slots[at].name.clone(), at)).collect()
     }
 }
 
@@ -243,15 +244,15 @@
             engine: engine.clone(),
             tenants: RefCell::new(plan.tenants.clone()),
             open: Share::new(parts.open, &reserves.open),
-            bound: Bound::default(),
-            fleet: Bound::default(),
+            bound: AdmissionLimit::default(),
+            fleet: AdmissionLimit::default(),
             bodies: Share::new(parts.bodies, &reserves.bodies),
             most_answer: Cell::new(plan.config.held()),
             admitted: Rc::default(),
             held,
         };
         let tasks = vec![spawn_local(tend).abort_handle(), spawn_local(engine.clone().run()).abort_handle()];
-        engine.begin();
+        engine.start();
         let mut running = Running {
             pool: Rc::new(pool),
             slots: plan.assigned.slots.clone(),
@@ -275,9 +276,9 @@
         self.pool.open.resize(parts.open);
         self.pool.bodies.resize(parts.bodies);
         let engine = &self.pool.engine;
-        let upstreams = &engine.wire().upstreams;
+        let upstreams = &engine.transport().upstreams;
         upstreams.set(&plan.settings.limits, plan.dialect.clone());
-        if let Err(why) = engine.reconfigure(plan.settings.clone(), &plan.assigned.learned) {
+        if let Err(why) = engine.reconfigure(plan.settings.clone(), &plan.assigned.inherited) {
             // The plan was checked by the same rules before anything was changed.
             let name = &self.pool.name;
             tell!(DEFECT, what = %why; "defect: pool {name}: {why}");
@@ -317,7 +318,7 @@
         async move {
             loop {
                 let came = heard.notified();
-                if engine.listed() {
+                if engine.has_list() {
                     return;
                 }
                 came.await;
@@ -340,7 +341,7 @@
         let tell = {
             let (engine, heard, lists) = (engine.clone(), self.heard.clone(), self.lists.clone());
             move |kind, list| {
-                engine.list(kind, list);
+                engine.update_list(kind, list);
                 heard.notify_waiters();
                 lists.notify_one();
             }
@@ -352,7 +353,7 @@
                     let key = (node.name.clone(), node.address);
                     let started = known.get(&key).copied().unwrap_or(now);
                     seen.insert(key, started);
-                    Listed {
+                    DiscoveryEntry {
                         instance: node.name.clone(),
                         address: node.address,
                         zone: node.zone.clone(),
@@ -365,13 +366,13 @@
                 });
                 let list = list.collect();
                 self.seen = seen;
-                engine.list(ListKind::Complete, list);
+                engine.update_list(ListKind::Complete, list);
                 Source::Static
             }
             Nodes::File(_) => {
                 self.seen.clear();
                 if let Some(list) = &plan.list {
-                    engine.list(ListKind::Complete, list.clone());
+                    engine.update_list(ListKind::Complete, list.clone());
                 }
                 let watched = plan.file.as_deref().map(|path| file::watch(path, tell));
                 let watched = watched.and_then(|watched| match watched {
@@ -413,16 +414,16 @@
         };
         let classes: Vec<&str> = self.slots.iter().map(|slot| slot.name.as_str()).collect();
         // Those that have just started: each with the share of its capacity that it has.
-        let cold = engine.cold().into_iter().map(|(node, share, passed)| {
+        let cold = engine.cold_upstreams().into_iter().map(|(node, share, passed)| {
             format!("{node} at {:.0}% (passed over {passed} times)", 100.0 * share)
         });
         json!({
             "cold": cold.collect::<Vec<_>>().join(", "),
             "pool": name,
             "source": source,
-            "listed": engine.listed(),
-            "taking_requests": engine.upstreams(),
-            "open_requests": engine.open(),
+            "listed": engine.has_list(),
+            "taking_requests": engine.ready_upstreams(),
+            "open_requests": engine.open_requests(),
             "shared_by": self.settings.borrow().balancers,
             "number": self.settings.borrow().me,
             "classes": classes.join(" "),
@@ -463,25 +464,25 @@
     pub fn requests(&self, most: usize) -> Value {
         let (stages, oldest) = self.pool.engine.requests(most);
         let name = |stage| match stage {
-            Stage::Held => "held",
-            Stage::Out => "out",
-            Stage::Coming => "coming",
+            Stage::Queued => "held",
+            Stage::InFlight => "out",
+            Stage::ReceivingBody => "coming",
             Stage::Answered => "answered",
         };
         let stages: serde_json::Map<String, Value> =
             stages.into_iter().map(|(stage, n)| (name(stage).to_owned(), n.into())).collect();
-        let row = |request: Standing| {
+        let row = |request: RequestStatus| {
             let class = self.slots.get(request.class).map(|slot| slot.name.as_str());
             let at: Vec<String> =
-                request.out.iter().map(|(node, span)| format!("{node} {} ms", span / 1000)).collect();
+                request.in_flight.iter().map(|(node, span)| format!("{node} {} ms", span / 1000)).collect();
             json!({
                 "request": request.request,
                 "class": class,
                 "stage": name(request.stage),
                 "age_ms": request.age / 1000,
-                "left_ms": request.left / 1000,
-                "attempts": request.sent,
-                "may_have_run": request.doubt,
+                "left_ms": request.time_left / 1000,
+                "attempts": request.attempts,
+                "may_have_run": request.may_have_run,
                 "at": at.join(", "),
             })
         };
@@ -494,8 +495,9 @@
             return following.look(members::told);
         }
         let source = if matches!(self.source, Source::Static) { "nodes" } else { "list" };
-        let listed = self.pool.engine.list_held().unwrap_or_default();
-        let why = |l: &Listed| if l.state == fs::ServerState::Ready { "serves" } else { "drains by order" };
+        let listed = self.pool.engine.current_list().unwrap_or_default();
+        let why =
+            |l: &DiscoveryEntry| if l.state == fs::ServerState::Ready { "serves" } else { "drains by order" };
         let rows: Vec<Value> = listed.iter().map(|l| members::member(l, source, why(l), None)).collect();
         json!({"sources": [], "members": rows})
     }
--- a/sloeline/src/describe.rs
+++ b/sloeline/src/describe.rs
@@ -5,7 +5,7 @@
 use finchshift::Effect;
 use serde_json::{Map, Value, json};
 use sloeline_config::model::{Config, RouteTo, Source};
-use sloeline_routing::pattern::{HostPattern, Place, Segment, Test};
+use sloeline_routing::pattern::{ConditionSource, HostPattern, Predicate, Segment};
 
 /// Methods of a path item; CONNECT and others have no place in a description.
 const METHODS: [&str; 7] = ["GET", "HEAD", "OPTIONS", "POST", "PUT", "PATCH", "DELETE"];
@@ -79,14 +79,16 @@
     let mut parameters: Vec<Value> =
         names.iter().map(|name| parameter(name, "path", true, json!({"type": "string"}))).collect();
     for condition in &route.route.conditions {
-        let (name, within) = match &condition.place {
-            Place::Header(name) => (name, "header"),
-            Place::Query(name) => (name, "query"),
+        let (name, within) = match &condition.source {
+            ConditionSource::Header(name) => (name, "header"),
+            ConditionSource::Query(name) => (name, "query"),
         };
-        match &condition.test {
-            Test::Equals(value) => parameters.push(parameter(name, within, true, json!({"const": value}))),
-            Test::Present => parameters.push(parameter(name, within, true, json!({"type": "string"}))),
-            Test::Absent => {}
+        match &condition.predicate {
+            Predicate::Equals(value) => {
+                parameters.push(parameter(name, within, true, json!({"const": value})))
+            }
+            Predicate::Present => parameters.push(parameter(name, within, true, json!({"type": "string"}))),
+            Predicate::Absent => {}
         }
     }
     if let Some(header) = &route.class_header {
