--- a/sloeline/src/explain.rs
+++ b/sloeline/src/explain.rs
@@ -3,8 +3,8 @@
 use std::fmt::Write;
 
 use sloeline_config::model::{Config, RouteTo, Source};
-use sloeline_routing::pattern::{Request, Seen};
-use sloeline_routing::table::{Miss, Table, Verdict};
+use sloeline_routing::pattern::{FieldValue, Request};
+use sloeline_routing::table::{NoRoute, Table, Verdict};
 use sloeline_routing::target::Target;
 
 /// What becomes of a request at each listener; the error is one line on what cannot be asked so.
@@ -18,15 +18,15 @@
     let header = |name: &str| {
         let mut found = lines.iter().filter(|(n, _)| n == name);
         match (found.next(), found.next()) {
-            (None, _) => Seen::Nothing,
-            (Some((_, value)), None) => Seen::One(value.clone()),
-            _ => Seen::Unclear,
+            (None, _) => FieldValue::Missing,
+            (Some((_, value)), None) => FieldValue::Single(value.clone()),
+            _ => FieldValue::Ambiguous,
         }
     };
     let host = match header("host") {
-        Seen::One(host) => Some(host),
-        Seen::Nothing => None,
-        Seen::Unclear => return Ok("400: Host stands twice\n".to_owned()),
+        FieldValue::Single(host) => Some(host),
+        FieldValue::Missing => None,
+        FieldValue::Ambiguous => return Ok("400: Host stands twice\n".to_owned()),
     };
     let mut text = String::new();
     let target = match Target::parse(url, host.as_deref()) {
@@ -34,7 +34,7 @@
         Err(why) => return Ok(format!("400: {why}\n")),
     };
     let shown = target.host.as_ref().map_or("(none)".to_owned(), ToString::to_string);
-    let _ = writeln!(text, "host {shown}, forwarded as {method} {}", target.forwarded());
+    let _ = writeln!(text, "host {shown}, forwarded as {method} {}", target.path_and_query());
     let request = Request { method, target: &target, header: &header };
     for (name, listener) in &config.listeners {
         let routes: Vec<&RouteTo> = config.routes.iter().filter(|r| r.listeners.contains(name)).collect();
@@ -46,11 +46,11 @@
         }
         match table.find(&request) {
             Ok(at) => chosen(config, routes[at], &target, &mut text),
-            Err(Miss::Nothing) => text.push_str("  404: no route\n"),
-            Err(Miss::Method(methods)) => {
+            Err(NoRoute::NotFound) => text.push_str("  404: no route\n"),
+            Err(NoRoute::MethodNotAllowed(methods)) => {
                 let _ = writeln!(text, "  405: routes for this path take {}", methods.join(", "));
             }
-            Err(Miss::Unclear(place)) => {
+            Err(NoRoute::Ambiguous(place)) => {
                 let _ = writeln!(text, "  400: {place} stands twice or is no text");
             }
         }
@@ -58,14 +58,14 @@
             let why = match verdict {
                 Verdict::Chosen => continue,
                 Verdict::Outranked => "it would match, but the chosen one goes first".to_owned(),
-                Verdict::Host => {
+                Verdict::HostMismatch => {
                     let hosts: Vec<String> = route.route.hosts.iter().map(ToString::to_string).collect();
                     format!("its host is {}", hosts.join(" or "))
                 }
-                Verdict::Path => format!("its path is {}", route.route.path),
-                Verdict::Method => format!("its method is {}", route.route.methods.join(" or ")),
-                Verdict::Condition(at) => format!("it asks for {}", route.route.conditions[at]),
-                Verdict::Unclear(at) => format!("cannot tell: {}", route.route.conditions[at]),
+                Verdict::PathMismatch => format!("its path is {}", route.route.path),
+                Verdict::MethodMismatch => format!("its method is {}", route.route.methods.join(" or ")),
+                Verdict::ConditionFailed(at) => format!("it asks for {}", route.route.conditions[at]),
+                Verdict::ConditionAmbiguous(at) => format!("cannot tell: {}", route.route.conditions[at]),
             };
             let _ = writeln!(text, "  not {:?}: {why}", route.route.name);
         }
--- a/sloeline/src/members.rs
+++ b/sloeline/src/members.rs
@@ -7,7 +7,7 @@
 use finchshift::{Micros, ServerState};
 use serde_json::{Value, json};
 use sloeline_config::model::{Config, Instance, Nodes};
-use sloeline_engine::types::Listed;
+use sloeline_engine::types::DiscoveryEntry;
 use sloeline_membership::doubt::{Reason, Rules};
 use sloeline_membership::follow::Following;
 use sloeline_membership::merge::Members;
@@ -44,7 +44,7 @@
     }
 }
 
-fn row(text: &mut String, listed: &Listed, source: &str, why: &str) {
+fn row(text: &mut String, listed: &DiscoveryEntry, source: &str, why: &str) {
     let (name, address, zone, state) =
         (&listed.instance, listed.address.to_string(), &listed.zone, state(listed.state));
     let _ = writeln!(text, "  {name:<24} {address:<22} {zone:<12} {state:<4} {source:<10} {why}");
@@ -100,7 +100,7 @@
 }
 
 /// One member, for tools.
-pub fn member(listed: &Listed, source: &str, why: &str, by: Option<&str>) -> Value {
+pub fn member(listed: &DiscoveryEntry, source: &str, why: &str, by: Option<&str>) -> Value {
     json!({
         "node": listed.instance,
         "address": listed.address.to_string(),
@@ -129,7 +129,7 @@
         let _ = writeln!(text, "pool {name}");
         if let Nodes::Static(nodes) = &pool.nodes {
             for node in nodes {
-                let listed = Listed {
+                let listed = DiscoveryEntry {
                     instance: node.name.clone(),
                     address: node.address,
                     zone: node.zone.clone(),
--- a/sloeline/src/net.rs
+++ b/sloeline/src/net.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use finchshift::{Micros, ServerId};
-use sloeline_engine::engine::{Engine, Report, Wire};
+use sloeline_engine::engine::{AttemptReport, Engine, Transport};
 use sloeline_engine::types::Target;
 use sloeline_http::upstream::{Attempt, Call, Reply, Upstreams};
 use sloeline_membership::platform::Discovery;
@@ -16,20 +16,20 @@
     pub discovery: Option<Rc<Discovery>>,
 }
 
-impl Wire for Net {
+impl Transport for Net {
     type Call = Call;
     type Reply = Reply;
-    type Out = Attempt;
+    type Attempt = Attempt;
 
-    fn send(&self, to: Target, call: Rc<Call>, limit: Micros, report: Report<Self>) -> Attempt {
+    fn send(&self, to: Target, call: Rc<Call>, limit: Micros, report: AttemptReport<Self>) -> Attempt {
         self.upstreams.send(to, call, limit, report)
     }
 
-    fn coming(&self, call: &Call) -> bool {
+    fn body_pending(&self, call: &Call) -> bool {
         !call.body.has_come()
     }
 
-    fn spent(&self, call: &Call) -> bool {
+    fn body_consumed(&self, call: &Call) -> bool {
         call.body.spent()
     }
 
@@ -39,7 +39,8 @@
 
     fn probe(&self, engine: &Rc<Engine<Self>>, to: Target) {
         let engine = engine.clone();
-        self.upstreams.probe(to, move |took, outcome, load| engine.probed(to.server, took, outcome, load));
+        self.upstreams
+            .probe(to, move |took, outcome, load| engine.probe_ended(to.server, took, outcome, load));
     }
 
     fn close_idle(&self, server: ServerId) {
@@ -49,14 +50,14 @@
     fn watch(&self, engine: &Rc<Engine<Self>>) {
         let engine = engine.clone();
         if let Some(discovery) = &self.discovery {
-            discovery.watch(move |kind, entries| engine.list(kind, entries));
+            discovery.watch(move |kind, entries| engine.update_list(kind, entries));
         }
     }
 
     fn fetch(&self, engine: &Rc<Engine<Self>>) {
         let engine = engine.clone();
         if let Some(discovery) = &self.discovery {
-            discovery.fetch(move |kind, entries| engine.list(kind, entries));
+            discovery.fetch(move |kind, entries| engine.update_list(kind, entries));
         }
     }
 }
--- a/sloeline/src/platform.rs
+++ b/sloeline/src/platform.rs
@@ -117,12 +117,12 @@
     operator.adopt(&orders);
     match (list, known) {
         (Some(handed), _) => {
-            engine.take_returned(handed.returned);
-            engine.list(ListKind::Complete, handed.list.entries());
+            engine.import_unconfirmed_restarts(handed.returned);
+            engine.update_list(ListKind::Complete, handed.list.entries());
             service.resume(handed.learned);
         }
-        (None, Some(known)) => engine.list(ListKind::Stale, known.entries()),
-        (None, None) => engine.begin(),
+        (None, Some(known)) => engine.update_list(ListKind::Stale, known.entries()),
+        (None, None) => engine.start(),
     }
     spawn_local(engine.run());
     spawn_local({
--- a/sloeline/src/platform/operator.rs
+++ b/sloeline/src/platform/operator.rs
@@ -156,8 +156,8 @@
         let way = self.orders.borrow().towards(orders);
         for order in way {
             match &order {
-                Order::TakeOut(id) => self.service.engine().order_out(id),
-                Order::PutBack(id) => _ = self.service.engine().put_back(id),
+                Order::TakeOut(id) => self.service.engine().replicate_maintenance(id),
+                Order::PutBack(id) => _ = self.service.engine().exit_maintenance(id),
                 Order::Standby => self.turn(|p| p.standby(Instant::now(), true)),
                 Order::Active => self.turn(|p| p.standby(Instant::now(), false)),
             }
@@ -193,8 +193,8 @@
         let changed = after.take(order)?;
         let engine = self.service.engine();
         let known = match order {
-            Order::TakeOut(id) => engine.take_out(id),
-            Order::PutBack(id) => engine.put_back(id) || changed,
+            Order::TakeOut(id) => engine.enter_maintenance(id),
+            Order::PutBack(id) => engine.exit_maintenance(id) || changed,
             Order::Standby | Order::Active => true,
         };
         if !known {
@@ -268,10 +268,10 @@
         let listener = listener.map_err(|e| e.to_string())?;
         let (discovery, generation) = self.service.discovery();
         let engine = self.service.engine();
-        let list = engine.list_held().map(|listed| Handed {
+        let list = engine.current_list().map(|listed| Handed {
             discovery,
             list: List::whole(generation, listed),
-            returned: engine.returned(),
+            returned: engine.unconfirmed_restarts(),
             learned: self.service.learned(),
         });
         let hello = Hello { orders: self.orders.borrow().clone(), list };
@@ -299,7 +299,7 @@
             let row = self.row.borrow();
             added(row[0].out.clone(), &row[1].out)
         };
-        self.service.engine().beside(&others);
+        self.service.engine().set_sibling_in_flight(&others);
     }
 
     /// Shares this balancer with the processes on one side until the nearest has gone.
@@ -357,7 +357,7 @@
     fn call(&self, call: Call) -> Result<String, String> {
         match call {
             Call::Status if self.stopping.get() => Err("stopping".to_owned()),
-            Call::Status if !self.serving.get() || !self.service.engine().listed() => {
+            Call::Status if !self.serving.get() || !self.service.engine().has_list() => {
                 Err("not yet".to_owned())
             }
             Call::Status => {
--- a/sloeline/src/platform/service.rs
+++ b/sloeline/src/platform/service.rs
@@ -20,7 +20,7 @@
 use super::config::Config;
 use super::operator::Learned;
 use crate::net::Net;
-use sloeline_engine::slots::{Slot, assign};
+use sloeline_engine::slots::{ClassSlot, assign};
 
 /// Descriptors for the runtime, the signals, the listeners, operators' calls, discovery and standard streams.
 const RESERVED: usize = 40;
@@ -60,24 +60,24 @@
     /// How many processes of the same balancer there are; each takes its part.
     processes: Cell<usize>,
     longest: Cell<Micros>,
-    slots: RefCell<Vec<Slot>>,
+    slots: RefCell<Vec<ClassSlot>>,
     zone: String,
     file: RefCell<Value>,
     at: Cell<SocketAddr>,
 }
 
-fn wanted(setup: &Setup, settings: &fs::Settings) -> Vec<Slot> {
+fn wanted(setup: &Setup, settings: &fs::Settings) -> Vec<ClassSlot> {
     let classes = setup.categories.iter().zip(&settings.classes);
-    classes.map(|(c, class)| Slot { name: c.name.clone(), class: class.clone() }).collect()
+    classes.map(|(c, class)| ClassSlot { name: c.name.clone(), class: class.clone() }).collect()
 }
 
-fn named(setup: &Setup, wanted: &[Slot], numbers: &[fs::ClassId]) -> Named {
+fn named(setup: &Setup, wanted: &[ClassSlot], numbers: &[fs::ClassId]) -> Named {
     let classes = wanted.iter().zip(numbers).map(|(w, n)| (w.name.clone(), (*n, w.class.clone())));
     let tenants = setup.realms.iter().enumerate().map(|(i, r)| (r.name.clone(), i));
     Named { classes: classes.collect(), tenants: tenants.collect() }
 }
 
-fn longest(wanted: &[Slot]) -> Micros {
+fn longest(wanted: &[ClassSlot]) -> Micros {
     wanted.iter().map(|w| w.class.deadline).max().unwrap_or(0)
 }
 
@@ -100,14 +100,14 @@
         let settings = settings(&setup, &mut zones)?;
         let slots = wanted(&setup, &settings);
         let (callers, upstreams) = descriptors(sockets, processes);
-        let connections = Share::alone(upstreams);
+        let connections = Share::standalone(upstreams);
         let upstreams = Upstreams::new(&settings.limits, connections.clone(), Dialect::platform());
         spawn_local(upstreams.tend());
         let discovery = Discovery::new(at, generation);
         let net = Net { upstreams, discovery: Some(discovery.clone()) };
         let engine = Engine::new(settings, &zones, seed, net)?;
         let numbers: Vec<_> = (0..slots.len()).collect();
-        let bodies = Share::alone(body_bytes(memory, processes));
+        let bodies = Share::standalone(body_bytes(memory, processes));
         let front = Platform::new(engine.clone(), named(&setup, &slots, &numbers), bodies.clone());
         let longest = longest(&slots);
         Ok(Rc::new(Service {
@@ -162,7 +162,7 @@
         let classes = slots.iter().map(|s| learned.classes.remove(&s.name).unwrap_or_default());
         let classes = classes.collect();
         let figures = fs::Learned { classes, all: learned.all, zones: Vec::new() };
-        self.engine.resume(figures, learned.zones);
+        self.engine.import_learned(figures, learned.zones);
     }
 
     /// There are so many processes of this balancer. All together hold no more than one may.
@@ -195,9 +195,9 @@
         let assigned = assign(&self.slots.borrow(), &wanted, |class| self.callers.front().uses(class));
         settings.classes = assigned.slots.iter().map(|s| s.class.clone()).collect();
         let limits = settings.limits.clone();
-        self.engine.reconfigure(settings, &assigned.learned)?;
-        self.callers.front().rename(named(&config.setup, &wanted, &assigned.numbers));
-        self.engine.wire().upstreams.set(&limits, Dialect::platform());
+        self.engine.reconfigure(settings, &assigned.inherited)?;
+        self.callers.front().rename(named(&config.setup, &wanted, &assigned.class_ids));
+        self.engine.transport().upstreams.set(&limits, Dialect::platform());
         // A class that is gone may have requests that are to be answered before a stop.
         self.longest.set(longest(&assigned.slots));
         *self.slots.borrow_mut() = assigned.slots;
@@ -205,7 +205,7 @@
         *self.file.borrow_mut() = config.file;
         self.at.set(config.discovery);
         let engine = self.engine.clone();
-        self.discovery.move_to(config.discovery, move |kind, entries| engine.list(kind, entries));
+        self.discovery.move_to(config.discovery, move |kind, entries| engine.update_list(kind, entries));
         Ok(config.discovery)
     }
 }
