--- a/mesh/control-plane/src/core.rs
+++ b/mesh/control-plane/src/core.rs
@@ -321,7 +321,7 @@
 
     /// Balancers hear who serves.
     fn show_core(&self) {
-        let shown = self.exchange.board().core().map(|core| core.round);
+        let shown = self.exchange.board().core_list().map(|core| core.round);
         let list = self.look(|node, _| {
             let view = node.view().filter(|_| node.active() && node.established())?;
             let newer = shown.is_none_or(|shown| shown < view.number.round);
--- a/mesh/control-plane/src/followers.rs
+++ b/mesh/control-plane/src/followers.rs
@@ -31,7 +31,7 @@
             by_name.retain(|_, follower| follower.pulled_at.elapsed() < LATELY);
         }
         if by_name.len() < MOST || by_name.contains_key(&pull.source) {
-            let follower = Follower { edition: pull.edition, pulled_at: Instant::now() };
+            let follower = Follower { edition: pull.config_version, pulled_at: Instant::now() };
             by_name.insert(pull.source.clone(), follower);
         }
     }
--- a/mesh/control-plane/src/program.rs
+++ b/mesh/control-plane/src/program.rs
@@ -11,8 +11,8 @@
 use sloeline_admin_http::control;
 use sloeline_admin_http::reload::{self, SettingsWatch};
 use sloeline_chain_replication::{DurableState, Rows, VoterSet};
-use sloeline_discovery::{News, Pull, Record, Version};
-use sloeline_idempotency::Update;
+use sloeline_discovery::{Pull, PullResponse, Record, Version};
+use sloeline_idempotency::ClaimUpdate;
 use sloeline_process_settings::Settings;
 use sloeline_route_config::model::MOST_BYTES;
 use sloeline_rpc::exchange::{Exchange, Following};
@@ -130,12 +130,12 @@
     let life = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
     let own = Record {
         source: settings.node_name.clone(),
-        version: Version { life, change: 1 },
-        mesh: me,
+        version: Version { incarnation: life, revision: 1 },
+        mesh_address: me,
         zone: settings.zone_name.clone(),
-        core: true,
+        is_core: true,
         leaving: false,
-        incoming: None,
+        incoming_address: None,
         upstream: None,
     };
     let exchange = Exchange::new(own);
@@ -199,7 +199,7 @@
 }
 
 /// Answers a pull as soon as there is news, or contact with the majority is lost.
-async fn answer_pull(core: &Core, exchange: &Exchange, pull: Pull) -> News {
+async fn answer_pull(core: &Core, exchange: &Exchange, pull: Pull) -> PullResponse {
     // Whoever waits hears of the contact as soon as it is there.
     if !core.wait_for_contact(CONTACT_WITHIN).await {
         return out_of_contact(exchange, pull).await;
@@ -208,19 +208,19 @@
     tokio::select! {
         news = exchange.answer(pull) => match core.in_contact() {
             true => news,
-            false => News { offered: None, core: None, out_of_contact: true, ..news },
+            false => PullResponse { offered_version: None, core_list: None, out_of_contact: true, ..news },
         },
         () = core.contact_lost() => out_of_contact(exchange, lost).await,
     }
 }
 
 /// Who exists is told by its sources and can't be wrong, only late; a configuration and a list of the core could be old.
-async fn out_of_contact(exchange: &Exchange, pull: Pull) -> News {
-    let news = exchange.answer(Pull { hold: 0, ..pull }).await;
-    News { offered: None, core: None, out_of_contact: true, ..news }
+async fn out_of_contact(exchange: &Exchange, pull: Pull) -> PullResponse {
+    let news = exchange.answer(Pull { max_hold_ms: 0, ..pull }).await;
+    PullResponse { offered_version: None, core_list: None, out_of_contact: true, ..news }
 }
 
-async fn answer_operation(core: &Core, update: Update) -> Told {
+async fn answer_operation(core: &Core, update: ClaimUpdate) -> Told {
     if core.open_changes() >= MOST_OPEN_CHANGES {
         return Told::Unable("chain: too many changes wait for their result".to_owned());
     }
--- a/mesh/control-plane/src/tables.rs
+++ b/mesh/control-plane/src/tables.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use sloeline_chain_replication::{Applied, Row, Rows, Tables};
 use sloeline_discovery::Config;
-use sloeline_idempotency::{Claim, Claims, Outcome, Update};
+use sloeline_idempotency::{Claim, ClaimOutcome, ClaimUpdate, Claims};
 
 /// A key is kept so much longer than its window, in milliseconds: its first try was sent before it was claimed, and the
 /// head's time is not the clients'.
@@ -18,7 +18,7 @@
     /// A configuration that is valid. The highest version holds.
     Config(Config),
     /// Of a keyed operation.
-    Key(Update),
+    Key(ClaimUpdate),
     /// Nothing: its result is the configuration that holds.
     Read,
 }
@@ -45,7 +45,7 @@
         holds: u32,
     },
     /// Of a keyed operation.
-    Key(Outcome),
+    Key(ClaimOutcome),
     /// The configuration that holds.
     Config(Option<Config>),
     /// It could not be read.
@@ -72,7 +72,7 @@
     /// All rows, made anew from the state: for checks against those that were written one by one.
     pub fn rows(&self) -> Rows {
         let config = self.config.iter().map(|config| (Bytes::from_static(CONFIG), encoded(config)));
-        config.chain(self.keys.all().map(|(key, claim)| (key_row(key), encoded(claim)))).collect()
+        config.chain(self.keys.iter().map(|(key, claim)| (key_row(key), encoded(claim)))).collect()
     }
 
     /// The highest version holds; under one version there is one content.
@@ -137,6 +137,6 @@
                 claims.push((key.slice(1..), claim));
             }
         }
-        self.keys.load(claims.into_iter());
+        self.keys.replace_all(claims.into_iter());
     }
 }
--- a/mesh/control-plane/tests/catch_up.rs
+++ b/mesh/control-plane/tests/catch_up.rs
@@ -14,7 +14,7 @@
 use sloeline_control_plane::core::settings;
 use sloeline_control_plane::tables::{Change, State};
 use sloeline_discovery::Config;
-use sloeline_idempotency::Update;
+use sloeline_idempotency::ClaimUpdate;
 
 const KEY_WINDOW: u64 = 600_000;
 /// Routes of each configuration, and about the bytes of one.
@@ -191,7 +191,7 @@
 
 fn claim(number: u64) -> Change {
     let key = Bytes::from(format!("key-{number:020}"));
-    Change::Key(Update::Claim { key, run: number, holder: "branch-zone-1-1".to_owned() })
+    Change::Key(ClaimUpdate::Claim { key, run: number, holder: "branch-zone-1-1".to_owned() })
 }
 
 /// Two of three go on without the third, and change much.
--- a/mesh/control-plane/tests/tables.rs
+++ b/mesh/control-plane/tests/tables.rs
@@ -7,14 +7,14 @@
 use sloeline_chain_replication::Tables;
 use sloeline_control_plane::tables::{Change, ChangeResult, State};
 use sloeline_discovery::Config;
-use sloeline_idempotency::{Outcome, Update};
+use sloeline_idempotency::{ClaimOutcome, ClaimUpdate};
 
 fn change(kind: u8, key: u8, run: u64) -> Change {
     let name = Bytes::from(vec![key % 5]);
     match kind % 4 {
         0 => Change::Config(Config { edition: u32::from(key), body: Bytes::from(vec![run as u8; 3]) }),
-        1 => Change::Key(Update::Release { key: name, run: run % 7 }),
-        2 => Change::Key(Update::Claim { key: name, run: run % 7, holder: "m".to_owned() }),
+        1 => Change::Key(ClaimUpdate::Release { key: name, run: run % 7 }),
+        2 => Change::Key(ClaimUpdate::Claim { key: name, run: run % 7, holder: "m".to_owned() }),
         _ => Change::Read,
     }
 }
@@ -74,9 +74,9 @@
 fn a_key_is_kept_for_its_window_and_a_margin() {
     let mut state = State::new(60_000);
     let claim =
-        |run| Change::Key(Update::Claim { key: Bytes::from_static(b"k"), run, holder: "m".to_owned() });
-    assert_eq!(came(&mut state, 0, &claim(1)), ChangeResult::Key(Outcome::Granted));
-    let held = ChangeResult::Key(Outcome::Held { run: 1, holder: "m".to_owned() });
+        |run| Change::Key(ClaimUpdate::Claim { key: Bytes::from_static(b"k"), run, holder: "m".to_owned() });
+    assert_eq!(came(&mut state, 0, &claim(1)), ChangeResult::Key(ClaimOutcome::Granted));
+    let held = ChangeResult::Key(ClaimOutcome::Held { run: 1, holder: "m".to_owned() });
     assert_eq!(came(&mut state, 69_000, &claim(2)), held);
-    assert_eq!(came(&mut state, 71_000, &claim(2)), ChangeResult::Key(Outcome::Granted));
+    assert_eq!(came(&mut state, 71_000, &claim(2)), ChangeResult::Key(ClaimOutcome::Granted));
 }
--- a/mesh/data-plane/src/gate.rs
+++ b/mesh/data-plane/src/admission.rs
@@ -28,7 +28,7 @@
 pub enum Verdict {
     /// It goes on.
     Go,
-    /// It waits under this number until [`Gate::leave`] or [`Gate::expire`] names it.
+    /// It waits under this number until [`AdmissionQueue::complete`] or [`AdmissionQueue::expire`] names it.
     Wait(u64),
     /// It is turned away; there may be room after so long.
     Full(Micros),
@@ -53,13 +53,13 @@
     /// Requests of one kind take about as long: what its route says of it.
     pub kind: u64,
     /// What its route says of its urgency; 0 is the highest.
-    pub rank: u8,
+    pub priority: u8,
     /// How long until its aim.
-    pub aim: Micros,
+    pub time_to_target: Micros,
     /// How long its sender waits.
-    pub left: Micros,
+    pub time_left: Micros,
     /// How long it may wait here.
-    pub hold: Micros,
+    pub max_wait: Micros,
     /// How long its answer will wait for the link; zero for a short one.
     pub link_wait: Micros,
     /// How long its answer then takes on the link; zero for a short one.
@@ -100,10 +100,10 @@
 
 /// The gate.
 #[derive(Debug)]
-pub struct Gate {
+pub struct AdmissionQueue {
     state: State,
     slots: usize,
-    working: usize,
+    in_flight: usize,
     next: u64,
     queue: BTreeMap<Place, Waiting>,
     /// Kinds and their mean time with the upstream.
@@ -112,12 +112,12 @@
     late_through: f64,
 }
 
-impl Default for Gate {
-    fn default() -> Gate {
-        Gate {
+impl Default for AdmissionQueue {
+    fn default() -> AdmissionQueue {
+        AdmissionQueue {
             state: State::Absent,
             slots: 1,
-            working: 0,
+            in_flight: 0,
             next: 0,
             queue: BTreeMap::new(),
             kinds: Vec::new(),
@@ -126,9 +126,9 @@
     }
 }
 
-impl Gate {
+impl AdmissionQueue {
     /// The upstream is so from now on, and works on so many requests at once.
-    pub fn set(&mut self, state: State, slots: usize) {
+    pub fn set_upstream(&mut self, state: State, slots: usize) {
         self.state = state;
         self.slots = slots.max(1);
     }
@@ -144,18 +144,18 @@
     }
 
     /// Requests that are with the upstream.
-    pub fn working(&self) -> usize {
-        self.working
+    pub fn in_flight(&self) -> usize {
+        self.in_flight
     }
 
     /// Requests that wait.
-    pub fn waiting(&self) -> usize {
+    pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
     /// Neither.
     pub fn is_idle(&self) -> bool {
-        self.working == 0 && self.queue.is_empty()
+        self.in_flight == 0 && self.queue.is_empty()
     }
 
     /// The number of a kind.
@@ -184,7 +184,7 @@
     }
 
     fn has_room(&self) -> bool {
-        self.working < self.slots
+        self.in_flight < self.slots
     }
 
     /// About how long until a request is let through that has so much work before it.
@@ -198,29 +198,30 @@
         if self.state != State::Open {
             return Verdict::Closed;
         }
-        let (kind, rank) = (self.kind(arrival.kind), arrival.rank);
+        let (kind, rank) = (self.kind(arrival.kind), arrival.priority);
         let mean = self.mean(kind);
         let on_link = arrival.on_link();
         // An answer that the link would carry too late takes it from those that are in time: one without a chance is
         // worked on only where next to nothing waits for the link.
-        let too_late = mean as Micros + on_link > arrival.aim && arrival.link_wait > arrival.link_time;
-        if too_late || on_link > arrival.left {
+        let too_late =
+            mean as Micros + on_link > arrival.time_to_target && arrival.link_wait > arrival.link_time;
+        if too_late || on_link > arrival.time_left {
             return Verdict::Full(arrival.link_wait.max(1_000));
         }
         if self.queue.is_empty() && self.has_room() {
-            self.working += 1;
+            self.in_flight += 1;
             return Verdict::Go;
         }
         let long = self.is_long(kind);
-        let aim = now + arrival.aim.saturating_sub(mean as Micros + on_link);
+        let aim = now + arrival.time_to_target.saturating_sub(mean as Micros + on_link);
         let in_time = Place { late: false, rank, long, by: aim, number: u64::MAX };
         let wait_in_time = self.wait(self.ahead(in_time));
         // Whoever is late for its aim waits behind all that are not; but what is short beside the others delays nobody.
-        let late = long && wait_in_time + mean + on_link as f64 > arrival.aim as f64;
-        let behind = Place { late: true, by: now + arrival.left, ..in_time };
+        let late = long && wait_in_time + mean + on_link as f64 > arrival.time_to_target as f64;
+        let behind = Place { late: true, by: now + arrival.time_left, ..in_time };
         let wait = if late { self.wait(self.ahead(behind)) } else { wait_in_time };
         let needed = WORD.max((mean * LEAST_LEFT) as Micros) + on_link;
-        let last = arrival.left.saturating_sub(needed).min(arrival.hold);
+        let last = arrival.time_left.saturating_sub(needed).min(arrival.max_wait);
         // What comes in time takes all places for now: a late one would wait in vain.
         let in_vain = late && self.late_through < LEAST_LATE && self.queue.keys().any(|place| place.late);
         if in_vain || wait > last as f64 || last == 0 || self.queue.len() >= MOST_WAITING * self.slots {
@@ -241,8 +242,8 @@
 
     /// A request of this kind that was let through is over; it took so long, where that tells something. Those named go on
     /// now.
-    pub fn leave(&mut self, now: Micros, kind: u64, took: Option<Micros>) -> Vec<u64> {
-        self.working = self.working.saturating_sub(1);
+    pub fn complete(&mut self, now: Micros, kind: u64, took: Option<Micros>) -> Vec<u64> {
+        self.in_flight = self.in_flight.saturating_sub(1);
         if let Some(took) = took {
             let kind = self.kind(kind);
             let mean = &mut self.kinds[kind].1;
@@ -267,7 +268,7 @@
                 self.queue.insert(place, waiting);
                 break;
             }
-            self.working += 1;
+            self.in_flight += 1;
             self.learn_late(place, true);
             go.push(place.number);
         }
--- a/mesh/data-plane/src/answers.rs
+++ b/mesh/data-plane/src/answers.rs
@@ -7,9 +7,9 @@
 use sloeline_http::front::{Answered, end_to_end, plain};
 use sloeline_http::payload::Payload;
 use sloeline_http::upstream::Reply;
-use sloeline_idempotency::Answer;
+use sloeline_idempotency::StoredResponse;
 
-use crate::gate::Micros;
+use crate::admission::Micros;
 use crate::header_names;
 
 /// Keyed answers up to here are kept for repeats.
@@ -38,7 +38,7 @@
 }
 
 /// Reads an answer to its end: what is passed back, and what is kept for repeats where it is small enough.
-pub(crate) async fn whole(reply: Reply) -> Result<(Answered, Option<Answer>), Answered> {
+pub(crate) async fn whole(reply: Reply) -> Result<(Answered, Option<StoredResponse>), Answered> {
     let (status, headers) = (reply.status, end_to_end(&reply.headers));
     let Ok(body) = reply.body.collect().await else {
         return Err(plain(StatusCode::BAD_GATEWAY, "the upstream broke off"));
@@ -47,7 +47,7 @@
     let named = |(name, value): (&HeaderName, &HeaderValue)| {
         (name.as_str().to_owned(), Bytes::copy_from_slice(value.as_bytes()))
     };
-    let kept = (body.len() <= MOST_KEPT).then(|| Answer {
+    let kept = (body.len() <= MOST_KEPT).then(|| StoredResponse {
         status: status.as_u16(),
         headers: headers.iter().map(named).collect(),
         body: body.clone(),
@@ -59,7 +59,7 @@
 }
 
 /// The first answer, for a repeat.
-pub(crate) fn again(kept: Answer, id: Option<HeaderValue>) -> Answered {
+pub(crate) fn again(kept: StoredResponse, id: Option<HeaderValue>) -> Answered {
     let mut answer = Answered::new(Payload::Whole(Full::new(kept.body)));
     *answer.status_mut() = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let headers = answer.headers_mut();
--- a/mesh/data-plane/src/beats.rs
+++ b/mesh/data-plane/src/beats.rs
@@ -113,17 +113,17 @@
             _ => condition,
         };
         // The first word of it holds: later ones differ by what the way took.
-        let cold_until = match known {
-            Some(upstream) => upstream.cold_until,
+        let cold_until_micros = match known {
+            Some(upstream) => upstream.cold_until_micros,
             None => Some(now + beat.tracking.cold_left.0).filter(|_| beat.tracking.cold_left.0 > 0),
         };
         let upstream = Upstream {
             id: id.to_owned(),
             service: beat.notice.line.clone(),
-            edition: beat.notice.edition.clone(),
+            software_version: beat.notice.edition.clone(),
             slots: beat.notice.berths,
             condition,
-            cold_until,
+            cold_until_micros,
         };
         let new = known != Some(&upstream);
         if known.is_none()
--- a/mesh/data-plane/src/follow.rs
+++ b/mesh/data-plane/src/follow.rs
@@ -56,7 +56,7 @@
         let me = settings.node_name.as_str();
         let mut core = self.core_machines(&settings, &records);
         let weigh = |address: &SocketAddr| {
-            let zone = records.values().find(|r| r.mesh == *address).map(|r| r.zone.as_str());
+            let zone = records.values().find(|r| r.mesh_address == *address).map(|r| r.zone.as_str());
             let far = zone != Some(settings.zone_name.as_str());
             (far, std::cmp::Reverse(rendezvous::weight(me, &address.to_string())))
         };
@@ -76,10 +76,10 @@
             .collect();
         if !answers && self.since.elapsed() > STALE {
             wanted.extend(core[few..].iter().map(|address| (*address, None)));
-            let others = records.values().filter(|r| !r.core && !r.leaving).map(|r| r.source.as_str());
-            let peers = rendezvous::picks(me, others, PEERS);
+            let others = records.values().filter(|r| !r.is_core && !r.leaving).map(|r| r.source.as_str());
+            let peers = rendezvous::top_candidates(me, others, PEERS);
             let met = peers.iter().filter_map(|p| records.get(*p));
-            wanted.extend(met.map(|r| (r.mesh, Some(PEER_HOLD))));
+            wanted.extend(met.map(|r| (r.mesh_address, Some(PEER_HOLD))));
         }
         now.retain(|address, following| {
             wanted.iter().any(|(w, hold)| w == address && *hold == following.hold())
@@ -99,14 +99,15 @@
         let answers = |address: &SocketAddr| {
             now.get(address).and_then(Following::reached).is_some_and(|at| at.elapsed() < STALE)
         };
-        if let Some(list) = self.exchange.board().core()
+        if let Some(list) = self.exchange.board().core_list()
             && list.machines.iter().any(answers)
         {
             return list.machines.clone();
         }
         let seeds = settings.seed_nodes.iter().map(|seed| settings.mesh_address_of(*seed));
-        let records = records.values().filter(|record| record.core && !record.leaving).map(|r| r.mesh);
-        let list = self.exchange.board().core();
+        let records =
+            records.values().filter(|record| record.is_core && !record.leaving).map(|r| r.mesh_address);
+        let list = self.exchange.board().core_list();
         let listed = list.iter().flat_map(|list| list.machines.iter().copied());
         let mut core: Vec<SocketAddr> = seeds.chain(records).chain(listed).collect();
         core.sort_unstable();
--- a/mesh/data-plane/src/front.rs
+++ b/mesh/data-plane/src/front.rs
@@ -11,7 +11,7 @@
 use sloeline_discovery::rendezvous::weight;
 use sloeline_engine::clock::Clock;
 use sloeline_http::front::{Admission, Answered, Front, end_to_end, number, plain};
-use sloeline_idempotency::MOST_KEY;
+use sloeline_idempotency::MAX_KEY_BYTES;
 use sloeline_limits::Share;
 use sloeline_route_config::model::RouteKind;
 use sloeline_route_config::table::Table;
@@ -109,7 +109,7 @@
         if keyed {
             let key = once(&head.headers, &header_names::OPERATION_KEY)?.filter(|k| !k.is_empty());
             let key = key.ok_or_else(|| bad("a tracked route wants X-Operation-Key"))?;
-            if key.len() > MOST_KEY {
+            if key.len() > MAX_KEY_BYTES {
                 return Err(bad("X-Operation-Key is too long"));
             }
         }
--- a/mesh/data-plane/src/keys.rs
+++ b/mesh/data-plane/src/keys.rs
@@ -9,7 +9,7 @@
 use anyhow::{Result, bail};
 use bytes::Bytes;
 use log::debug;
-use sloeline_idempotency::{Answer, Outcome, Update};
+use sloeline_idempotency::{ClaimOutcome, ClaimUpdate, StoredResponse};
 use sloeline_rpc::link::Link;
 use sloeline_rpc::{Ask, Told};
 use tokio::task::spawn_local;
@@ -33,7 +33,7 @@
 
 /// A claim that is to be taken back.
 struct Release {
-    update: Update,
+    update: ClaimUpdate,
     until: Instant,
 }
 
@@ -66,7 +66,7 @@
         self.core.set_machines(addresses);
     }
 
-    async fn ask(&self, update: Update, until: Instant) -> Result<Outcome> {
+    async fn ask(&self, update: ClaimUpdate, until: Instant) -> Result<ClaimOutcome> {
         match self.core.call(&Ask::Operation(update), until).await? {
             Told::Operation(outcome) => Ok(outcome),
             _ => bail!("core: an answer to another question"),
@@ -74,18 +74,18 @@
     }
 
     /// Claims a key for a run. With an error the run must not go, and its claim is taken back.
-    pub async fn claim(self: &Rc<Self>, key: &Bytes, run: u64, within: Duration) -> Result<Outcome> {
-        let claim = Update::Claim { key: key.clone(), run, holder: self.holder.clone() };
+    pub async fn claim(self: &Rc<Self>, key: &Bytes, run: u64, within: Duration) -> Result<ClaimOutcome> {
+        let claim = ClaimUpdate::Claim { key: key.clone(), run, holder: self.holder.clone() };
         let outcome = self.ask(claim, Instant::now() + within.min(CLAIM)).await;
         if outcome.is_err() {
-            self.release_later(Update::Release { key: key.clone(), run });
+            self.release_later(ClaimUpdate::Release { key: key.clone(), run });
         }
         outcome
     }
 
     /// Takes a claim back: the run never went. Waits a moment until that is known.
     pub async fn release(self: &Rc<Self>, key: &Bytes, run: u64) {
-        let release = Update::Release { key: key.clone(), run };
+        let release = ClaimUpdate::Release { key: key.clone(), run };
         if self.ask(release.clone(), Instant::now() + RELEASE).await.is_err() {
             self.release_later(release);
         }
@@ -98,7 +98,7 @@
     }
 
     /// Gives an answer to another machine, in case this one forgets it.
-    pub fn keep(&self, keeper: SocketAddr, key: Bytes, run: u64, answer: Answer) {
+    pub fn keep(&self, keeper: SocketAddr, key: Bytes, run: u64, answer: StoredResponse) {
         self.holder(keeper).tell(&Ask::Keep { key, run, answer });
     }
 
@@ -111,7 +111,7 @@
     }
 
     /// Takes a claim back in the background: one call at a time, however many wait.
-    fn release_later(self: &Rc<Self>, update: Update) {
+    fn release_later(self: &Rc<Self>, update: ClaimUpdate) {
         let mut releases = self.releases.borrow_mut();
         if releases.len() >= MOST_RELEASES {
             releases.pop_front();
--- a/mesh/data-plane/src/program.rs
+++ b/mesh/data-plane/src/program.rs
@@ -70,7 +70,7 @@
 pub fn run(path: &Path) -> Result<()> {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().context("start the runtime")?;
-    LocalSet::new().block_on(&runtime, async { work(reload::follow(path.to_owned())?).await })
+    LocalSet::new().block_on(&runtime, async { run_with_settings(reload::follow(path.to_owned())?).await })
 }
 
 fn unix_micros() -> u64 {
@@ -96,17 +96,17 @@
 }
 
 /// The whole life of one, by its settings.
-pub async fn work(watched: SettingsWatch) -> Result<()> {
+pub async fn run_with_settings(watched: SettingsWatch) -> Result<()> {
     let settings = Settings::clone(&watched.borrow());
     let guarantees = settings.guarantees()?;
     let own = Record {
         source: settings.node_name.clone(),
-        version: Version { life: unix_micros(), change: 1 },
-        mesh: settings.mesh_address(),
+        version: Version { incarnation: unix_micros(), revision: 1 },
+        mesh_address: settings.mesh_address(),
         zone: settings.zone_name.clone(),
-        core: false,
+        is_core: false,
         leaving: false,
-        incoming: settings.docks.incoming,
+        incoming_address: settings.docks.incoming,
         upstream: None,
     };
     let exchange = Exchange::new(own);
--- a/mesh/data-plane/src/receive.rs
+++ b/mesh/data-plane/src/receive.rs
@@ -17,13 +17,13 @@
 use hyper_util::rt::TokioIo;
 use log::debug;
 use sloeline_discovery::Condition;
-use sloeline_discovery::rendezvous::picks;
+use sloeline_discovery::rendezvous::top_candidates;
 use sloeline_engine::types::Target;
 use sloeline_http::front::{Answered, end_to_end, number, plain};
 use sloeline_http::payload::Payload;
 use sloeline_http::upload::Sent;
 use sloeline_http::upstream::{Call, Relayed, Reply, Upstreams};
-use sloeline_idempotency::{Answer, Entry, Ledger, Outcome};
+use sloeline_idempotency::{ClaimOutcome, Entry, Ledger, StoredResponse};
 use sloeline_rpc::Told;
 use sloeline_rpc::exchange::Exchange;
 use sloeline_settings::setup::ring;
@@ -32,10 +32,10 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until};
 
+use crate::admission::{AdmissionQueue, Arrival, Micros, State, Verdict};
 use crate::answer_lengths::AnswerLengths;
 use crate::answers::{again, not_run, passed, whole};
 use crate::beats::Beats;
-use crate::gate::{Arrival, Gate, Micros, State, Verdict};
 use crate::header_names;
 use crate::keys::Keys;
 use crate::link_shaper::{Expected, LinkShaper};
@@ -56,7 +56,7 @@
 
 /// The way in.
 pub struct Receiver {
-    gate: RefCell<Gate>,
+    gate: RefCell<AdmissionQueue>,
     beats: RefCell<Beats>,
     waiting: RefCell<HashMap<u64, oneshot::Sender<bool>>>,
     upstreams: Upstreams,
@@ -96,7 +96,7 @@
         let held = now.saturating_sub(self.since);
         metrics::GATE_HELD.add(held);
         let took = self.told.then_some(held);
-        let go = self.receiver.gate.borrow_mut().leave(now, self.kind, took);
+        let go = self.receiver.gate.borrow_mut().complete(now, self.kind, took);
         self.receiver.wake(go, true);
         self.receiver.changed.notify_one();
     }
@@ -177,7 +177,7 @@
             if state == State::Closing && gate.state() == State::Open {
                 gate.close_by(self.now() + self.drain);
             }
-            gate.set(state, slots);
+            gate.set_upstream(state, slots);
         }
         self.changed.notify_one();
         self.exchange.announce(|own| own.upstream = upstream);
@@ -194,7 +194,7 @@
             let waits = self.waiting.borrow_mut().remove(&number);
             // Whoever left in the same moment gives its place back.
             if waits.is_some_and(|w| w.send(go).is_err()) && go {
-                let go = self.gate.borrow_mut().leave(self.now(), 0, None);
+                let go = self.gate.borrow_mut().complete(self.now(), 0, None);
                 self.wake(go, true);
             }
         }
@@ -263,13 +263,23 @@
         let left =
             text(&header_names::TIME_LEFT).and_then(number).map_or(LONGEST, |ms| ms.saturating_mul(1000));
         let until = came + left.min(LONGEST);
-        let aim = text(&header_names::AIM).and_then(number).map_or(left, |ms| ms.saturating_mul(1000));
+        let time_to_target =
+            text(&header_names::AIM).and_then(number).map_or(left, |ms| ms.saturating_mul(1000));
         let limit =
             text(&header_names::LIMIT).and_then(number).map_or(left, |ms| ms.saturating_mul(1000).min(left));
-        let hold = text(&header_names::HOLD).and_then(number).map_or(limit, |ms| ms.saturating_mul(1000));
-        let rank = text(&header_names::RANK).and_then(|rank| rank.parse().ok()).unwrap_or(u8::MAX);
+        let max_wait = text(&header_names::HOLD).and_then(number).map_or(limit, |ms| ms.saturating_mul(1000));
+        let priority =
+            text(&header_names::RANK).and_then(|priority| priority.parse().ok()).unwrap_or(u8::MAX);
         let kind = kind(&head.headers);
-        let arrival = Arrival { kind, rank, aim, left: limit.min(LONGEST), hold, link_wait: 0, link_time: 0 };
+        let arrival = Arrival {
+            kind,
+            priority,
+            time_to_target,
+            time_left: limit.min(LONGEST),
+            max_wait,
+            link_wait: 0,
+            link_time: 0,
+        };
         let (id, address) = {
             let beats = self.beats.borrow();
             match (beats.upstream(), beats.address()) {
@@ -335,14 +345,16 @@
     async fn place(self: &Rc<Self>, arrival: Arrival, came: Micros) -> Result<Place, Answered> {
         let now = self.now();
         let age = now.saturating_sub(came);
-        let [aim, left, hold] = [arrival.aim, arrival.left, arrival.hold].map(|t| t.saturating_sub(age));
-        if left < LEAST {
+        let [time_to_target, time_left, max_wait] =
+            [arrival.time_to_target, arrival.time_left, arrival.max_wait].map(|t| t.saturating_sub(age));
+        if time_left < LEAST {
             return Err(not_run(StatusCode::SERVICE_UNAVAILABLE, "too little time left", None));
         }
         let kind = arrival.kind;
         let (link_wait, link_time) = self.outlook(kind);
         let arrival = Arrival { link_wait, link_time, ..arrival };
-        let verdict = self.gate.borrow_mut().arrive(now, Arrival { aim, left, hold, ..arrival });
+        let verdict =
+            self.gate.borrow_mut().arrive(now, Arrival { time_to_target, time_left, max_wait, ..arrival });
         let expected = self.lengths.borrow().long(kind).map(|length| self.link.expect(length));
         let place = || {
             let since = self.now();
@@ -472,13 +484,13 @@
     fn keepers(&self, holder: &str) -> Vec<SocketAddr> {
         let records = self.exchange.board().records();
         let Some(zone) = records.get(holder).map(|r| r.zone.as_str()) else { return Vec::new() };
-        let near = records.values().filter(|r| !r.core && r.zone == zone).map(|r| r.source.as_str());
-        let picked = picks(holder, near, KEEPERS);
-        picked.iter().filter_map(|name| records.get(*name)).map(|r| r.mesh).collect()
+        let near = records.values().filter(|r| !r.is_core && r.zone == zone).map(|r| r.source.as_str());
+        let picked = top_candidates(holder, near, KEEPERS);
+        picked.iter().filter_map(|name| records.get(*name)).map(|r| r.mesh_address).collect()
     }
 
     /// Keeps an answer for another holder.
-    pub fn keep(&self, key: &Bytes, run: u64, answer: Answer) {
+    pub fn keep(&self, key: &Bytes, run: u64, answer: StoredResponse) {
         self.ledger.borrow_mut().keep(self.now() / 1000, key, run, answer);
     }
 
@@ -488,10 +500,10 @@
         let mut told = self.recalled(key, run);
         let mut ask = Vec::new();
         if me.source != holder {
-            ask.extend(self.exchange.board().records().get(holder).map(|r| r.mesh));
+            ask.extend(self.exchange.board().records().get(holder).map(|r| r.mesh_address));
         }
         ask.extend(self.keepers(holder));
-        for mesh in ask.into_iter().filter(|mesh| *mesh != me.mesh) {
+        for mesh in ask.into_iter().filter(|mesh| *mesh != me.mesh_address) {
             if matches!(told, Some(Told::Running | Told::Ran(Some(_)))) {
                 break;
             }
@@ -517,8 +529,8 @@
         self.ledger.borrow_mut().begin(self.now() / 1000, &key, run);
         let left = Duration::from_micros(going.until.saturating_sub(self.now()));
         match self.keys.claim(&key, run, left / 2).await {
-            Ok(Outcome::Granted) => {}
-            Ok(Outcome::Held { run: first, holder }) => {
+            Ok(ClaimOutcome::Granted) => {}
+            Ok(ClaimOutcome::Held { run: first, holder }) => {
                 self.ledger.borrow_mut().end(&key, run);
                 return self.repeat(&key, first, &holder, going.id).await;
             }
--- a/mesh/data-plane/src/services.rs
+++ b/mesh/data-plane/src/services.rs
@@ -247,7 +247,9 @@
         let mut lists: BTreeMap<&str, Vec<Listed>> = BTreeMap::new();
         let mut behind = HashMap::new();
         for record in records.values() {
-            let (Some(upstream), Some(incoming)) = (&record.upstream, record.incoming) else { continue };
+            let (Some(upstream), Some(incoming)) = (&record.upstream, record.incoming_address) else {
+                continue;
+            };
             if upstream.condition == Condition::Down {
                 continue;
             }
@@ -263,7 +265,7 @@
                 cell: 0,
                 state: if leaves { ServerState::Draining } else { ServerState::Ready },
                 weight: 1.0,
-                started: upstream.cold_until.map(|until| until.saturating_sub(WARM_AFTER)),
+                started: upstream.cold_until_micros.map(|until| until.saturating_sub(WARM_AFTER)),
             });
         }
         for ((line, _), service) in &self.by_group {
--- a/mesh/data-plane/tests/beats.rs
+++ b/mesh/data-plane/tests/beats.rs
@@ -19,7 +19,7 @@
 fn a_life_goes_from_accepting_to_closing_to_its_end_and_never_back() {
     let mut beats = Beats::default();
     assert!(beats.beat(1_000, "i-1", &beat("accepting", 1, "3s")));
-    assert_eq!(beats.upstream().and_then(|u| u.cold_until), Some(3_001_000));
+    assert_eq!(beats.upstream().and_then(|u| u.cold_until_micros), Some(3_001_000));
     // The same again says nothing new, however much the cold has shrunk.
     assert!(!beats.beat(2_000, "i-1", &beat("accepting", 2, "2s")));
     assert!(beats.beat(3_000, "i-1", &beat("closing", 4, "0ms")));
--- a/mesh/data-plane/tests/gate.rs
+++ b/mesh/data-plane/tests/gate.rs
@@ -2,36 +2,36 @@
 //! than it may have.
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
-use sloeline_data_plane::gate::{Arrival, Gate, State, Verdict};
+use sloeline_data_plane::admission::{AdmissionQueue, Arrival, State, Verdict};
 
 const MS: u64 = 1_000;
 
 fn arrival(kind: u64, aim: u64, left: u64) -> Arrival {
     Arrival {
         kind,
-        rank: 2,
-        aim: aim * MS,
-        left: left * MS,
-        hold: left * MS * 45 / 100,
+        priority: 2,
+        time_to_target: aim * MS,
+        time_left: left * MS,
+        max_wait: left * MS * 45 / 100,
         link_wait: 0,
         link_time: 0,
     }
 }
 
 /// A gate of two slots that has learned how long two kinds take: 100 ms and 10 ms.
-fn learned() -> Gate {
-    let mut gate = Gate::default();
-    gate.set(State::Open, 2);
+fn learned() -> AdmissionQueue {
+    let mut gate = AdmissionQueue::default();
+    gate.set_upstream(State::Open, 2);
     for kind in [1, 2] {
         assert_eq!(gate.arrive(0, arrival(kind, 300, 2000)), Verdict::Go);
         let took = if kind == 1 { 100 * MS } else { 10 * MS };
-        assert!(gate.leave(0, kind, Some(took)).is_empty());
+        assert!(gate.complete(0, kind, Some(took)).is_empty());
     }
     gate
 }
 
 /// The same with its upstream full.
-fn full() -> Gate {
+fn full() -> AdmissionQueue {
     let mut gate = learned();
     for _ in 0..2 {
         assert_eq!(gate.arrive(0, arrival(1, 300, 2000)), Verdict::Go);
@@ -39,7 +39,7 @@
     gate
 }
 
-fn waits(gate: &mut Gate, now: u64, arrival: Arrival) -> u64 {
+fn waits(gate: &mut AdmissionQueue, now: u64, arrival: Arrival) -> u64 {
     match gate.arrive(now, arrival) {
         Verdict::Wait(number) => number,
         other => panic!("{arrival:?} got {other:?}"),
@@ -55,7 +55,7 @@
     let short = waits(&mut gate, 0, arrival(2, 60, 250));
     let mut order = Vec::new();
     while order.len() < 4 {
-        order.extend(gate.leave(MS, 1, None));
+        order.extend(gate.complete(MS, 1, None));
     }
     assert_eq!(order, [short, pressed, relaxed, late]);
 }
@@ -63,14 +63,14 @@
 #[test]
 fn what_is_more_urgent_goes_first_among_those_in_time_and_among_those_late() {
     let mut gate = full();
-    let ranked = |rank: u8, aim: u64| Arrival { rank, ..arrival(1, aim, 2000) };
+    let ranked = |priority: u8, aim: u64| Arrival { priority, ..arrival(1, aim, 2000) };
     let late = waits(&mut gate, 0, ranked(2, 40));
     let late_urgent = waits(&mut gate, 0, ranked(0, 40));
     let pressed = waits(&mut gate, 0, ranked(2, 500));
     let urgent = waits(&mut gate, 0, ranked(0, 900));
     let mut order = Vec::new();
     while order.len() < 4 {
-        order.extend(gate.leave(MS, 1, None));
+        order.extend(gate.complete(MS, 1, None));
     }
     assert_eq!(order, [urgent, pressed, late_urgent, late]);
 }
@@ -79,9 +79,9 @@
 fn an_urgent_request_is_not_turned_away_for_those_that_it_goes_before() {
     let mut gate = full();
     while matches!(gate.arrive(0, arrival(1, 300, 2000)), Verdict::Wait(_)) {}
-    let urgent = Arrival { rank: 0, ..arrival(1, 1000, 1000) };
+    let urgent = Arrival { priority: 0, ..arrival(1, 1000, 1000) };
     let number = waits(&mut gate, 0, urgent);
-    assert_eq!(gate.leave(MS, 1, None), [number]);
+    assert_eq!(gate.complete(MS, 1, None), [number]);
 }
 
 #[test]
@@ -90,8 +90,8 @@
     let long = waits(&mut gate, 0, arrival(1, 900, 2000));
     // Its own aim is past, and whoever waits for it holds a place elsewhere.
     let short = waits(&mut gate, 0, arrival(2, 0, 250));
-    assert_eq!(gate.leave(MS, 1, None), [short]);
-    assert_eq!(gate.leave(MS, 1, None), [long]);
+    assert_eq!(gate.complete(MS, 1, None), [short]);
+    assert_eq!(gate.complete(MS, 1, None), [long]);
 }
 
 /// Two slots, all of whose places go to requests in time: late ones wait in vain, and are told so at once after a while.
@@ -110,7 +110,7 @@
             other => panic!("{other:?}"),
         }
         gate.expire(now);
-        assert_eq!(gate.leave(now, 1, None).len(), 1, "the one in time");
+        assert_eq!(gate.complete(now, 1, None).len(), 1, "the one in time");
     }
     assert!(refused > 2 * waited, "{waited} late ones waited, {refused} were told at once");
     // There is room again: whoever waits to see that goes, and others after it.
@@ -119,7 +119,7 @@
         gate.expire(now);
         let (at, request) = late(now);
         if let Verdict::Wait(number) = gate.arrive(at, request) {
-            assert_eq!(gate.leave(now, 1, None), [number]);
+            assert_eq!(gate.complete(now, 1, None), [number]);
         }
         now += 50 * MS;
     }
@@ -159,8 +159,8 @@
     }
     // Their aims leave them 220 ms to begin, this one's 90 ms from now.
     let short = waits(&mut gate, 200 * MS, arrival(2, 100, 250));
-    assert_eq!(gate.leave(201 * MS, 1, None), [short]);
-    assert_eq!(gate.leave(202 * MS, 2, None), pressed[..1]);
+    assert_eq!(gate.complete(201 * MS, 1, None), [short]);
+    assert_eq!(gate.complete(202 * MS, 2, None), pressed[..1]);
 }
 
 #[test]
@@ -189,28 +189,28 @@
     assert!(due <= 90 * MS, "held to {due}");
     assert!(gate.expire(due - 1).is_empty());
     assert_eq!(gate.expire(due), [number]);
-    assert_eq!(gate.waiting(), 0);
+    assert_eq!(gate.queued(), 0);
 }
 
 #[test]
 fn an_upstream_that_closes_takes_nothing_new_and_finishes_what_waits() {
     let mut gate = full();
     let number = waits(&mut gate, 0, arrival(1, 900, 2000));
-    gate.set(State::Closing, 2);
+    gate.set_upstream(State::Closing, 2);
     assert_eq!(gate.arrive(0, arrival(1, 900, 2000)), Verdict::Closed);
-    assert_eq!(gate.leave(MS, 1, None), [number]);
+    assert_eq!(gate.complete(MS, 1, None), [number]);
     // But not for long: what waits far longer than an upstream may still be sent something is turned away.
     let mut gate = full();
     let number = waits(&mut gate, 0, arrival(1, 20_000, 60_000));
     gate.close_by(1000 * MS);
-    gate.set(State::Closing, 2);
+    gate.set_upstream(State::Closing, 2);
     assert_eq!(gate.due(), Some(1000 * MS));
     assert!(gate.expire(999 * MS).is_empty());
     assert_eq!(gate.expire(1000 * MS), [number]);
     let mut gate = full();
     let number = waits(&mut gate, 0, arrival(1, 900, 2000));
-    gate.set(State::Absent, 2);
-    assert!(gate.leave(MS, 1, None).is_empty());
+    gate.set_upstream(State::Absent, 2);
+    assert!(gate.complete(MS, 1, None).is_empty());
     assert_eq!(gate.expire(MS), [number]);
 }
 
@@ -238,10 +238,10 @@
 
 quickcheck! {
     fn everybody_is_told_once_and_the_upstream_never_has_more_than_it_may(steps: Vec<Step>) -> bool {
-        let mut gate = Gate::default();
+        let mut gate = AdmissionQueue::default();
         let (mut now, mut most, mut working) = (0, 2, 0_usize);
         let mut waiting: Vec<u64> = Vec::new();
-        gate.set(State::Open, 2);
+        gate.set_upstream(State::Open, 2);
         for step in steps {
             let go = match step {
                 Step::Arrive { kind, aim, left } => match gate.arrive(now, arrival(kind, aim, left)) {
@@ -257,7 +257,7 @@
                 },
                 Step::Leave { took } if working > 0 => {
                     working -= 1;
-                    gate.leave(now, took % 3, Some(took * MS))
+                    gate.complete(now, took % 3, Some(took * MS))
                 }
                 Step::Leave { .. } => Vec::new(),
                 Step::Pass { ms } => {
@@ -277,7 +277,7 @@
                     Vec::new()
                 }
                 Step::Set { open, slots } => {
-                    gate.set(if open { State::Open } else { State::Closing }, slots);
+                    gate.set_upstream(if open { State::Open } else { State::Closing }, slots);
                     most = most.max(slots);
                     gate.fill(now)
                 }
@@ -288,7 +288,7 @@
             }
             waiting.retain(|n| !go.contains(n));
             working += go.len();
-            if working != gate.working() || waiting.len() != gate.waiting() || working > most {
+            if working != gate.in_flight() || waiting.len() != gate.queued() || working > most {
                 return false;
             }
         }
--- a/mesh/data-plane/tests/keys.rs
+++ b/mesh/data-plane/tests/keys.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use sloeline_data_plane::keys::Keys;
-use sloeline_idempotency::{Outcome, Update};
+use sloeline_idempotency::{ClaimOutcome, ClaimUpdate};
 use sloeline_rpc::serve::serve;
 use sloeline_rpc::{Ask, Told};
 use tokio::net::TcpListener;
@@ -55,11 +55,11 @@
     async fn answer(self: Rc<Self>, ask: Ask) -> Option<Told> {
         self.calls.set(self.calls.get() + 1);
         match (self.manner.get(), ask) {
-            (Manner::Grants, Ask::Operation(Update::Release { key, .. })) => {
+            (Manner::Grants, Ask::Operation(ClaimUpdate::Release { key, .. })) => {
                 self.released.borrow_mut().push(key);
-                Some(Told::Operation(Outcome::Granted))
+                Some(Told::Operation(ClaimOutcome::Granted))
             }
-            (Manner::Grants, _) => Some(Told::Operation(Outcome::Granted)),
+            (Manner::Grants, _) => Some(Told::Operation(ClaimOutcome::Granted)),
             (Manner::Refuses, _) => Some(Told::Unable("out of contact".to_owned())),
             (Manner::Silent, _) => std::future::pending().await,
         }
@@ -134,7 +134,7 @@
         sleep(Duration::from_millis(600)).await;
         core.manner.set(Manner::Grants);
         for claim in waiting {
-            assert_eq!(claim.await.expect("it ends").expect("granted"), Outcome::Granted);
+            assert_eq!(claim.await.expect("it ends").expect("granted"), ClaimOutcome::Granted);
         }
     });
 }
--- a/mesh/discovery/src/record.rs
+++ b/mesh/discovery/src/record.rs
@@ -9,13 +9,15 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Version {
     /// Goes up from one start of the source to the next.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Goes up with every change.
-    pub change: u64,
+    #[serde(rename = "change")]
+    pub revision: u64,
 }
 
 /// The versions that somebody has, by source.
-pub type Vector = BTreeMap<String, Version>;
+pub type VersionVector = BTreeMap<String, Version>;
 
 /// How an upstream is, by its own word and its balancer's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -36,13 +38,15 @@
     /// Its service.
     pub service: String,
     /// The version of its software.
-    pub edition: String,
+    #[serde(rename = "edition")]
+    pub software_version: String,
     /// Requests that it works on at once.
     pub slots: u32,
     /// How it is.
     pub condition: Condition,
     /// Until when it is slow, in Unix microseconds; nothing where it is not.
-    pub cold_until: Option<u64>,
+    #[serde(rename = "cold_until")]
+    pub cold_until_micros: Option<u64>,
 }
 
 /// What a process tells of itself.
@@ -53,15 +57,18 @@
     /// The version.
     pub version: Version,
     /// Where processes of the mesh reach it.
-    pub mesh: SocketAddr,
+    #[serde(rename = "mesh")]
+    pub mesh_address: SocketAddr,
     /// Its zone.
     pub zone: String,
     /// It serves control.
-    pub core: bool,
+    #[serde(rename = "core")]
+    pub is_core: bool,
     /// It is about to end.
     pub leaving: bool,
     /// Where requests for its upstream go.
-    pub incoming: Option<SocketAddr>,
+    #[serde(rename = "incoming")]
+    pub incoming_address: Option<SocketAddr>,
     /// Its upstream.
     pub upstream: Option<Upstream>,
 }
--- a/mesh/discovery/src/rendezvous.rs
+++ b/mesh/discovery/src/rendezvous.rs
@@ -37,7 +37,7 @@
 }
 
 /// The `count` candidates of most weight, heaviest first. Few picks change when a candidate comes or goes.
-pub fn picks<'a>(me: &str, candidates: impl Iterator<Item = &'a str>, count: usize) -> Vec<&'a str> {
+pub fn top_candidates<'a>(me: &str, candidates: impl Iterator<Item = &'a str>, count: usize) -> Vec<&'a str> {
     let mut weighed: Vec<(u64, &str)> = candidates.filter(|c| *c != me).map(|c| (weight(me, c), c)).collect();
     weighed.sort_unstable_by(|a, b| b.cmp(a));
     weighed.dedup();
--- a/mesh/idempotency/src/claims.rs
+++ b/mesh/idempotency/src/claims.rs
@@ -7,7 +7,7 @@
 
 /// What is asked of the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Update {
+pub enum ClaimUpdate {
     /// May this run go?
     Claim {
         /// The key.
@@ -28,7 +28,7 @@
 
 /// What came of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Outcome {
+pub enum ClaimOutcome {
     /// The run may go, or its claim is taken back.
     Granted,
     /// Another run has the key.
@@ -85,12 +85,12 @@
     }
 
     /// All of it.
-    pub fn all(&self) -> impl Iterator<Item = (&Bytes, &Claim)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&Bytes, &Claim)> {
         self.claims.iter()
     }
 
     /// Takes these claims in place of all others.
-    pub fn load(&mut self, claims: impl Iterator<Item = (Bytes, Claim)>) {
+    pub fn replace_all(&mut self, claims: impl Iterator<Item = (Bytes, Claim)>) {
         self.claims = claims.collect();
         let mut order: Vec<_> = self.claims.iter().map(|(k, c)| (c.stamp, c.run, k.clone())).collect();
         order.sort_unstable();
@@ -98,28 +98,28 @@
     }
 
     /// Applies an update. Stamps never go back.
-    pub fn apply(&mut self, stamp: u64, update: &Update) -> (Outcome, Changed) {
+    pub fn apply(&mut self, stamp: u64, update: &ClaimUpdate) -> (ClaimOutcome, Changed) {
         let mut changed = self.expire(stamp);
         let outcome = match update {
-            Update::Claim { key, run, holder } => match self.claims.get(key) {
+            ClaimUpdate::Claim { key, run, holder } => match self.claims.get(key) {
                 Some(claim) if claim.run != *run => {
-                    Outcome::Held { run: claim.run, holder: claim.holder.clone() }
+                    ClaimOutcome::Held { run: claim.run, holder: claim.holder.clone() }
                 }
-                Some(_) => Outcome::Granted,
+                Some(_) => ClaimOutcome::Granted,
                 None => {
                     let claim = Claim { stamp, run: *run, holder: holder.clone() };
                     self.order.push_back((stamp, *run, key.clone()));
                     changed.push((key.clone(), Some(claim.clone())));
                     self.claims.insert(key.clone(), claim);
-                    Outcome::Granted
+                    ClaimOutcome::Granted
                 }
             },
-            Update::Release { key, run } => {
+            ClaimUpdate::Release { key, run } => {
                 if self.claims.get(key).is_some_and(|c| c.run == *run) {
                     self.claims.remove(key);
                     changed.push((key.clone(), None));
                 }
-                Outcome::Granted
+                ClaimOutcome::Granted
             }
         };
         (outcome, changed)
--- a/mesh/idempotency/src/ledger.rs
+++ b/mesh/idempotency/src/ledger.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 
-use crate::Answer;
+use crate::StoredResponse;
 
 /// What is known of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -12,7 +12,7 @@
     /// It is at work, or waits to be.
     Running,
     /// It ran, with this answer; nothing where the answer was lost or is too large.
-    Ran(Option<Answer>),
+    Ran(Option<StoredResponse>),
 }
 
 /// The runs of this process, for as long as their keys are kept.
@@ -64,7 +64,7 @@
     }
 
     /// It ran.
-    pub fn ran(&mut self, key: &Bytes, run: u64, answer: Option<Answer>) {
+    pub fn ran(&mut self, key: &Bytes, run: u64, answer: Option<StoredResponse>) {
         let Some((known, entry)) = self.entries.get_mut(key) else { return };
         if *known != run || *entry != Entry::Running {
             return;
@@ -78,7 +78,7 @@
     }
 
     /// Keeps an answer for another holder, which may forget it.
-    pub fn keep(&mut self, now: u64, key: &Bytes, run: u64, answer: Answer) {
+    pub fn keep(&mut self, now: u64, key: &Bytes, run: u64, answer: StoredResponse) {
         if !self.entries.contains_key(key) {
             self.begin(now, key, run);
             self.ran(key, run, Some(answer));
--- a/mesh/idempotency/src/lib.rs
+++ b/mesh/idempotency/src/lib.rs
@@ -22,15 +22,15 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-pub use claims::{Claim, Claims, Outcome, Update};
+pub use claims::{Claim, ClaimOutcome, ClaimUpdate, Claims};
 pub use ledger::{Entry, Ledger};
 
 /// Most bytes of a key; longer ones are refused.
-pub const MOST_KEY: usize = 512;
+pub const MAX_KEY_BYTES: usize = 512;
 
 /// An answer that is kept.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct StoredResponse {
     /// Its status.
     pub status: u16,
     /// Its headers.
@@ -39,7 +39,7 @@
     pub body: Bytes,
 }
 
-impl Answer {
+impl StoredResponse {
     /// About what it takes of the memory.
     pub fn size(&self) -> usize {
         self.body.len()
--- a/mesh/idempotency/tests/keys.rs
+++ b/mesh/idempotency/tests/keys.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use quickcheck::{Arbitrary, Gen, quickcheck};
-use sloeline_idempotency::{Answer, Claims, Entry, Ledger, Outcome, Update};
+use sloeline_idempotency::{ClaimOutcome, ClaimUpdate, Claims, Entry, Ledger, StoredResponse};
 
 const WINDOW: u64 = 50;
 
@@ -33,10 +33,10 @@
     Bytes::from(vec![step.key])
 }
 
-fn update(step: &Step) -> Update {
+fn update(step: &Step) -> ClaimUpdate {
     match step.release {
-        true => Update::Release { key: key(step), run: step.run },
-        false => Update::Claim { key: key(step), run: step.run, holder: format!("m-{}", step.run) },
+        true => ClaimUpdate::Release { key: key(step), run: step.run },
+        false => ClaimUpdate::Claim { key: key(step), run: step.run, holder: format!("m-{}", step.run) },
     }
 }
 
@@ -54,14 +54,14 @@
                 if holder == Some(step.run) {
                     held.remove(&step.key);
                 }
-                return outcome == Outcome::Granted;
+                return outcome == ClaimOutcome::Granted;
             }
             match holder {
-                Some(run) if run != step.run => outcome == Outcome::Held { run, holder: format!("m-{run}") },
-                Some(_) => outcome == Outcome::Granted,
+                Some(run) if run != step.run => outcome == ClaimOutcome::Held { run, holder: format!("m-{run}") },
+                Some(_) => outcome == ClaimOutcome::Granted,
                 None => {
                     held.insert(step.key, (now, step.run));
-                    outcome == Outcome::Granted
+                    outcome == ClaimOutcome::Granted
                 }
             }
         })
@@ -80,7 +80,7 @@
             }
         }
         let mut other = Claims::new(WINDOW);
-        other.load(rows.into_iter());
+        other.replace_all(rows.into_iter());
         steps[cut..].iter().all(|step| {
             now += step.pause;
             one.apply(now, &update(step)).0 == other.apply(now, &update(step)).0
@@ -96,7 +96,7 @@
             let body = Bytes::from(vec![0; usize::from(size % 4096)]);
             match ends {
                 true => ledger.end(&key, run),
-                false => ledger.ran(&key, run, Some(Answer { status: 200, headers: Vec::new(), body })),
+                false => ledger.ran(&key, run, Some(StoredResponse { status: 200, headers: Vec::new(), body })),
             }
             if ledger.bytes() > most || ledger.len() > 18 {
                 return false;
@@ -115,12 +115,12 @@
 fn a_late_word_of_an_earlier_run_changes_nothing() {
     let (key, now) = (Bytes::from_static(b"k"), 0);
     let mut claims = Claims::new(WINDOW);
-    let claim = |run| Update::Claim { key: key.clone(), run, holder: "m".to_owned() };
+    let claim = |run| ClaimUpdate::Claim { key: key.clone(), run, holder: "m".to_owned() };
     claims.apply(now, &claim(1));
-    claims.apply(now, &Update::Release { key: key.clone(), run: 1 });
+    claims.apply(now, &ClaimUpdate::Release { key: key.clone(), run: 1 });
     claims.apply(now, &claim(2));
     // The first run's word again, as after a connection that broke.
-    claims.apply(now, &Update::Release { key: key.clone(), run: 1 });
+    claims.apply(now, &ClaimUpdate::Release { key: key.clone(), run: 1 });
     assert_eq!(claims.get(&key).map(|c| c.run), Some(2));
     let mut ledger = Ledger::new(WINDOW, 1 << 20);
     ledger.begin(now, &key, 2);
@@ -132,7 +132,7 @@
 #[test]
 fn an_answer_kept_for_another_holder_never_replaces_what_is_known() {
     let key = Bytes::from_static(b"k");
-    let answer = |status| Answer { status, headers: Vec::new(), body: Bytes::new() };
+    let answer = |status| StoredResponse { status, headers: Vec::new(), body: Bytes::new() };
     let mut ledger = Ledger::new(WINDOW, 1 << 20);
     ledger.begin(0, &key, 7);
     ledger.keep(0, &key, 8, answer(200));
--- a/mesh/idempotency/tests/races.rs
+++ b/mesh/idempotency/tests/races.rs
@@ -2,7 +2,7 @@
 //! operation runs once. Two doctored machines are seen to break that.
 
 use bytes::Bytes;
-use sloeline_idempotency::{Claims, Outcome, Update};
+use sloeline_idempotency::{ClaimOutcome, ClaimUpdate, Claims};
 
 /// How a machine goes about a try.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -52,14 +52,15 @@
                 current.step = if machine == Machine::ClaimsAfterSend { Step::Claims } else { Step::Over };
             }
             Step::Claims => {
-                let update = Update::Claim { key: key.clone(), run: current.run, holder: format!("m-{at}") };
+                let update =
+                    ClaimUpdate::Claim { key: key.clone(), run: current.run, holder: format!("m-{at}") };
                 let (outcome, _) = claims.apply(1, &update);
                 if lost && current.losses > 0 {
                     current.losses -= 1;
                     current.run += if machine == Machine::RepeatsUnderNewNumber { 10 } else { 0 };
                     continue;
                 }
-                let goes = outcome == Outcome::Granted && machine != Machine::ClaimsAfterSend;
+                let goes = outcome == ClaimOutcome::Granted && machine != Machine::ClaimsAfterSend;
                 current.step = if goes { Step::Sends } else { Step::Over };
             }
         }
--- a/mesh/rpc/src/exchange.rs
+++ b/mesh/rpc/src/exchange.rs
@@ -7,7 +7,7 @@
 
 use log::warn;
 use sloeline_config_transfer::{Fetch, PieceAnswer, PieceRequest, Progress, Source};
-use sloeline_discovery::{Board, Config, CoreList, News, Pull, Record, Version};
+use sloeline_discovery::{Config, CoreList, MeshState, Pull, PullResponse, Record, Version};
 use tokio::sync::watch;
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until};
@@ -30,7 +30,7 @@
 
 /// What is known here.
 pub struct Exchange {
-    board: RefCell<Board>,
+    board: RefCell<MeshState>,
     own: RefCell<Record>,
     /// Configurations as they are handed on.
     source: RefCell<Source>,
@@ -48,8 +48,8 @@
 impl Exchange {
     /// Nothing is known but the own record.
     pub fn new(own: Record) -> Rc<Exchange> {
-        let mut board = Board::default();
-        board.take(vec![own.clone()]);
+        let mut board = MeshState::default();
+        board.merge(vec![own.clone()]);
         Rc::new(Exchange {
             board: RefCell::new(board),
             own: RefCell::new(own),
@@ -68,7 +68,7 @@
     }
 
     /// What is known.
-    pub fn board(&self) -> std::cell::Ref<'_, Board> {
+    pub fn board(&self) -> std::cell::Ref<'_, MeshState> {
         self.board.borrow()
     }
 
@@ -86,7 +86,7 @@
             if *own == before {
                 return;
             }
-            own.version.change += 1;
+            own.version.revision += 1;
             own.clone()
         };
         self.take(vec![record]);
@@ -96,18 +96,18 @@
     fn take(&self, records: Vec<Record>) {
         // Somebody knows a later life of this process than it does itself: its clock was set back.
         let me = self.own.borrow().source.clone();
-        let later = records.iter().filter(|r| r.source == me).map(|r| r.version.life).max();
-        if later.is_some_and(|life| life > self.own.borrow().version.life) {
+        let later = records.iter().filter(|r| r.source == me).map(|r| r.version.incarnation).max();
+        if later.is_some_and(|life| life > self.own.borrow().version.incarnation) {
             let own = {
                 let mut own = self.own.borrow_mut();
-                own.version = Version { life: later.unwrap_or(0) + 1, change: 1 };
+                own.version = Version { incarnation: later.unwrap_or(0) + 1, revision: 1 };
                 own.clone()
             };
-            self.board.borrow_mut().take(vec![own]);
+            self.board.borrow_mut().merge(vec![own]);
             self.announced.send_modify(|n| *n += 1);
         }
         let others = records.into_iter().filter(|r| r.source != me || *r == *self.own.borrow());
-        let changed = self.board.borrow_mut().take(others.collect());
+        let changed = self.board.borrow_mut().merge(others.collect());
         if !changed.is_empty() {
             self.changed.send_modify(|n| *n += 1);
         }
@@ -116,7 +116,7 @@
     /// Takes a configuration that is in force.
     pub fn take_config(&self, config: Config) {
         let version = config.edition;
-        if self.board.borrow_mut().take_config(config) {
+        if self.board.borrow_mut().update_config(config) {
             metrics::CONFIGURATION_VERSION.set(version.into());
             if let Some(config) = self.board.borrow().config() {
                 self.source.borrow_mut().hold(config.clone());
@@ -128,7 +128,7 @@
 
     /// Takes a list of the core machines that serve.
     pub fn take_core(&self, core: CoreList) {
-        if self.board.borrow_mut().take_core(core) {
+        if self.board.borrow_mut().update_core_list(core) {
             self.changed.send_modify(|n| *n += 1);
         }
     }
@@ -139,19 +139,19 @@
         Pull {
             source: self.own.borrow().source.clone(),
             vector: board.vector(),
-            edition: board.config().map(|config| config.edition),
-            offered,
-            core_round: board.core().map(|core| core.round),
-            told,
-            hold: hold.as_millis() as u64,
+            config_version: board.config().map(|config| config.edition),
+            offered_version: offered,
+            core_round: board.core_list().map(|core| core.round),
+            pushed_records: told,
+            max_hold_ms: hold.as_millis() as u64,
         }
     }
 
-    fn take_news(self: &Rc<Self>, news: News, from: &Rc<Link>) {
-        if let Some(version) = news.offered {
+    fn take_news(self: &Rc<Self>, news: PullResponse, from: &Rc<Link>) {
+        if let Some(version) = news.offered_version {
             self.take_offer(version, from);
         }
-        if let Some(core) = news.core {
+        if let Some(core) = news.core_list {
             self.take_core(core);
         }
         self.take(news.records);
@@ -159,7 +159,7 @@
 
     /// Somebody has a newer configuration. Core machines get theirs through the chain.
     fn take_offer(self: &Rc<Self>, version: u32, from: &Rc<Link>) {
-        if self.own.borrow().core {
+        if self.own.borrow().is_core {
             return;
         }
         self.offers.borrow_mut().add(from, version);
@@ -208,7 +208,7 @@
 
     /// Forgets sources.
     pub fn forget(&self, gone: impl Fn(&Record) -> bool) {
-        self.board.borrow_mut().forget(gone);
+        self.board.borrow_mut().remove_where(gone);
     }
 
     /// Takes what somebody tells of itself.
@@ -217,13 +217,13 @@
     }
 
     /// Answers a pull as soon as there is news for it.
-    pub async fn answer(&self, mut pull: Pull) -> News {
-        self.take(std::mem::take(&mut pull.told));
-        let until = Instant::now() + Duration::from_millis(pull.hold).min(MOST_HOLD);
+    pub async fn answer(&self, mut pull: Pull) -> PullResponse {
+        self.take(std::mem::take(&mut pull.pushed_records));
+        let until = Instant::now() + Duration::from_millis(pull.max_hold_ms).min(MOST_HOLD);
         let mut changed = self.changed.subscribe();
         loop {
             changed.mark_unchanged();
-            let news = self.board.borrow().lacking(&pull);
+            let news = self.board.borrow().response_to(&pull);
             if !news.is_empty() || Instant::now() >= until {
                 return news;
             }
@@ -266,7 +266,7 @@
                 count_pull(&answer);
                 if let Ok(Told::News(news)) = answer {
                     reached.set((!news.out_of_contact).then(Instant::now));
-                    offered = offered.max(news.offered);
+                    offered = offered.max(news.offered_version);
                     self.take_news(news, &link);
                 }
             }
@@ -307,8 +307,8 @@
                 Ok(Told::News(news)) => {
                     let out_of_contact = news.out_of_contact;
                     reached.set((!out_of_contact).then(Instant::now));
-                    theirs = news.yours;
-                    offered = offered.max(news.offered);
+                    theirs = news.requester_version;
+                    offered = offered.max(news.offered_version);
                     patience = if out_of_contact { Duration::ZERO } else { hold };
                     self.take_news(news, &link);
                     if out_of_contact {
--- a/mesh/rpc/src/lib.rs
+++ b/mesh/rpc/src/lib.rs
@@ -12,8 +12,8 @@
 use serde::{Deserialize, Serialize};
 use sloeline_chain_replication::Message;
 use sloeline_config_transfer::{PieceAnswer, PieceRequest};
-use sloeline_discovery::{News, Pull, Record};
-use sloeline_idempotency::{Answer, Outcome, Update};
+use sloeline_discovery::{Pull, PullResponse, Record};
+use sloeline_idempotency::{ClaimOutcome, ClaimUpdate, StoredResponse};
 
 /// What a process asks of another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -30,7 +30,7 @@
     /// The asker's own news.
     Tell(Vec<Record>),
     /// Something of a keyed operation; only the core answers.
-    Operation(Update),
+    Operation(ClaimUpdate),
     /// What came of a run; only the machine that holds its claim answers.
     Recall {
         /// The key.
@@ -45,7 +45,7 @@
         /// The run.
         run: u64,
         /// Its answer.
-        answer: Answer,
+        answer: StoredResponse,
     },
     /// Between core machines; has no answer.
     Chain {
@@ -62,17 +62,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Told {
     /// The news.
-    News(News),
+    News(PullResponse),
     /// The piece.
     ConfigPiece(PieceAnswer),
     /// Done.
     Done,
     /// What came of the operation.
-    Operation(Outcome),
+    Operation(ClaimOutcome),
     /// The run is at work.
     Running,
     /// It ran, with this answer where it is kept.
-    Ran(Option<Answer>),
+    Ran(Option<StoredResponse>),
     /// JSON.
     Status(Bytes),
     /// It can't be done here and now; nothing has happened, or it may still happen.
--- a/mesh/rpc/tests/network/mod.rs
+++ b/mesh/rpc/tests/network/mod.rs
@@ -95,12 +95,12 @@
 pub fn process(name: &str) -> Rc<Exchange> {
     Exchange::new(Record {
         source: name.to_owned(),
-        version: Version { life: 1, change: 1 },
-        mesh: ([127, 0, 0, 1], 1).into(),
+        version: Version { incarnation: 1, revision: 1 },
+        mesh_address: ([127, 0, 0, 1], 1).into(),
         zone: "a".to_owned(),
-        core: false,
+        is_core: false,
         leaving: false,
-        incoming: None,
+        incoming_address: None,
         upstream: None,
     })
 }
--- a/mesh/rpc/tests/queues.rs
+++ b/mesh/rpc/tests/queues.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use sloeline_idempotency::Update;
+use sloeline_idempotency::ClaimUpdate;
 use sloeline_metrics::Metric;
 use sloeline_rpc::Ask;
 use sloeline_rpc::link::Link;
@@ -14,7 +14,7 @@
 
 /// A message of a quarter of a megabyte.
 fn large() -> Ask {
-    Ask::Operation(Update::Release { key: Bytes::from(vec![7; 256 << 10]), run: 1 })
+    Ask::Operation(ClaimUpdate::Release { key: Bytes::from(vec![7; 256 << 10]), run: 1 })
 }
 
 #[test]
--- a/mesh/testbed/examples/slopes.rs
+++ b/mesh/testbed/examples/slopes.rs
@@ -9,9 +9,9 @@
 use sloeline_chain_replication::{DurableState, Message, Node, Output, Rows, VoterSet};
 use sloeline_config_transfer::encoding::{pack, unpack};
 use sloeline_control_plane::tables::{Change, State};
-use sloeline_data_plane::gate::{Arrival, Gate, State as GateState};
-use sloeline_discovery::{Board, Condition, Pull, Record, Upstream, Version};
-use sloeline_idempotency::Update;
+use sloeline_data_plane::admission::{AdmissionQueue, Arrival, State as GateState};
+use sloeline_discovery::{Condition, MeshState, Pull, Record, Upstream, Version};
+use sloeline_idempotency::ClaimUpdate;
 use sloeline_route_config::model::Config;
 use sloeline_route_config::table::Table;
 use sloeline_rpc::frame::{Kind, encode};
@@ -25,19 +25,19 @@
     let address: SocketAddr = ([10, (n >> 16) as u8, (n >> 8) as u8, n as u8], 7620).into();
     Record {
         source: format!("branch-zone-{}-{n}", n % 13),
-        version: Version { life: 1_790_000_000_000_000 + u64::from(n), change: 3 },
-        mesh: address,
+        version: Version { incarnation: 1_790_000_000_000_000 + u64::from(n), revision: 3 },
+        mesh_address: address,
         zone: format!("zone-{}", n % 13),
-        core: false,
+        is_core: false,
         leaving: false,
-        incoming: Some(address),
+        incoming_address: Some(address),
         upstream: Some(Upstream {
             id: format!("i-{n:010x}"),
             service: format!("service-{}", n % 2000),
-            edition: "v1".to_owned(),
+            software_version: "v1".to_owned(),
             slots: 6,
             condition: Condition::Accepting,
-            cold_until: None,
+            cold_until_micros: None,
         }),
     }
 }
@@ -45,17 +45,17 @@
 fn boards() {
     println!("sources   vector, bytes   one record, bytes   all, bytes   answer to a pull with one new, us");
     for count in [16, 256, 4096, 16_000] {
-        let mut board = Board::default();
-        board.take((0..count).map(record).collect());
+        let mut board = MeshState::default();
+        board.merge((0..count).map(record).collect());
         let vector = board.vector();
         let pull = Pull {
             source: "asker".to_owned(),
             vector,
-            edition: Some(7),
-            offered: None,
+            config_version: Some(7),
+            offered_version: None,
             core_round: None,
-            told: Vec::new(),
-            hold: 2000,
+            pushed_records: Vec::new(),
+            max_hold_ms: 2000,
         };
         let asked = encode(Kind::Ask, 1, &Ask::Pull(pull.clone())).map_or(0, |b| b.len());
         let all: Vec<Record> = board.records().values().map(|r| (**r).clone()).collect();
@@ -63,12 +63,12 @@
         let single = encode(Kind::Tell, 0, &Ask::Tell(vec![record(1)])).map_or(0, |b| b.len());
         let whole = encode(Kind::Tell, 0, &Ask::Tell(all)).map_or(0, |b| b.len());
         let mut news = record(5);
-        news.version.change += 1;
-        board.take(vec![news]);
+        news.version.revision += 1;
+        board.merge(vec![news]);
         let times = 2_000_000 / count.max(1_000);
         let start = Instant::now();
         for _ in 0..times {
-            assert_eq!(black_box(board.lacking(black_box(&pull))).records.len(), 1);
+            assert_eq!(black_box(board.response_to(black_box(&pull))).records.len(), 1);
         }
         println!(
             "{count:7}   {:13}   {:17}   {whole:10}   {:8.1}",
@@ -135,7 +135,7 @@
             for n in 0..together {
                 let number = u64::from(round * together + n) + 1 + (u64::from(together) << 40);
                 let key = Bytes::from(number.to_be_bytes().to_vec());
-                let claim = Update::Claim { key, run: number, holder: "branch-zone-1-1".to_owned() };
+                let claim = ClaimUpdate::Claim { key, run: number, holder: "branch-zone-1-1".to_owned() };
                 nodes[1].submit(now, number, Change::Key(claim).encoded());
             }
             done += run(&mut nodes, now, &mut bytes, &mut messages);
@@ -232,26 +232,26 @@
 }
 
 fn gate() {
-    let mut gate = Gate::default();
-    gate.set(GateState::Open, 6);
+    let mut gate = AdmissionQueue::default();
+    gate.set_upstream(GateState::Open, 6);
     println!("\nrequests that wait at a gate   arrive and leave, us");
     for waiting in [0, 16, 90] {
         let arrival = Arrival {
             kind: 1,
-            rank: 1,
-            aim: 900_000_000,
-            left: 3_000_000_000,
-            hold: 1_400_000_000,
+            priority: 1,
+            time_to_target: 900_000_000,
+            time_left: 3_000_000_000,
+            max_wait: 1_400_000_000,
             link_wait: 0,
             link_time: 0,
         };
-        while gate.waiting() < waiting || gate.working() < 6 {
+        while gate.queued() < waiting || gate.in_flight() < 6 {
             gate.arrive(0, arrival);
         }
         let start = Instant::now();
         for n in 0..100_000 {
             gate.arrive(n, arrival);
-            black_box(gate.leave(n, 1, Some(90_000)));
+            black_box(gate.complete(n, 1, Some(90_000)));
         }
         println!("{waiting:28}   {:20.2}", micros(start, 100_000));
     }
--- a/mesh/testbed/src/machine.rs
+++ b/mesh/testbed/src/machine.rs
@@ -220,7 +220,7 @@
     fn start_balancer(&self, balancer: u8, settings: &str) -> Result<Machine> {
         let settings = Settings::parse(settings)?;
         Machine::start(&format!("balancer-{balancer}"), move || {
-            sloeline_data_plane::program::work(fixed(settings))
+            sloeline_data_plane::program::run_with_settings(fixed(settings))
         })
     }
 
--- a/mesh/testbed/tests/between_balancers.rs
+++ b/mesh/testbed/tests/between_balancers.rs
@@ -124,19 +124,19 @@
     spawn_local(far.clone().serve(listener));
     let record = Record {
         source: "m-9".to_owned(),
-        version: Version { life: 1, change: 1 },
-        mesh: SocketAddr::from(([127, 1, net, 9], 7620)),
+        version: Version { incarnation: 1, revision: 1 },
+        mesh_address: SocketAddr::from(([127, 1, net, 9], 7620)),
         zone: "a".to_owned(),
-        core: false,
+        is_core: false,
         leaving: false,
-        incoming: Some(incoming),
+        incoming_address: Some(incoming),
         upstream: Some(Upstream {
             id: "i-far".to_owned(),
             service: "one".to_owned(),
-            edition: "v1".to_owned(),
+            software_version: "v1".to_owned(),
             slots: 4,
             condition: Condition::Accepting,
-            cold_until: None,
+            cold_until_micros: None,
         }),
     };
     let link = Link::new(mesh.plan.core_mesh(0));
--- a/mesh/testbed/tests/core.rs
+++ b/mesh/testbed/tests/core.rs
@@ -7,7 +7,7 @@
 
 use mesh::{Mesh, WITHIN, config, play, status, until};
 use sloeline_config_transfer::PieceRequest;
-use sloeline_discovery::{News, Pull};
+use sloeline_discovery::{Pull, PullResponse};
 use sloeline_rpc::link::Link;
 use sloeline_rpc::{Ask, Told};
 use sloeline_testbed::client::{Answer, ask};
@@ -98,15 +98,22 @@
         let pull = Pull {
             source: "m-test".to_owned(),
             vector: Default::default(),
-            edition: None,
-            offered: None,
+            config_version: None,
+            offered_version: None,
             core_round: None,
-            told: Vec::new(),
-            hold: 5_000,
+            pushed_records: Vec::new(),
+            max_hold_ms: 5_000,
         };
         let link = Link::new(mesh.plan.core_mesh(0));
         let told = link.ask(&Ask::Pull(pull), Duration::from_secs(1)).await.expect("an answer at once");
-        let Told::News(News { offered: None, core: None, out_of_contact: true, records, .. }) = told else {
+        let Told::News(PullResponse {
+            offered_version: None,
+            core_list: None,
+            out_of_contact: true,
+            records,
+            ..
+        }) = told
+        else {
             panic!("{told:?}");
         };
         assert!(!records.is_empty(), "who exists is told all the same");
