--- a/mesh/admin-http/src/control.rs
+++ b/mesh/admin-http/src/control.rs
@@ -33,7 +33,7 @@
     /// What is called: `call` of the query.
     pub name: Option<String>,
     /// On what: `of` of the query.
-    pub of: Option<String>,
+    pub target: Option<String>,
     /// The headers.
     pub headers: HeaderMap,
     /// The body.
@@ -41,32 +41,32 @@
 }
 
 /// The answer to a call.
-pub type Answer = Response<Full<Bytes>>;
+pub type ControlResponse = Response<Full<Bytes>>;
 
 /// An answer of a status and a sentence.
-pub fn plain(status: StatusCode, text: impl Into<Bytes>) -> Answer {
+pub fn text_response(status: StatusCode, text: impl Into<Bytes>) -> ControlResponse {
     let mut answer = Response::new(Full::new(text.into()));
     *answer.status_mut() = status;
     answer
 }
 
 /// An answer of JSON.
-pub fn json(status: StatusCode, body: impl Into<Bytes>) -> Answer {
-    let mut answer = plain(status, body);
+pub fn json_response(status: StatusCode, body: impl Into<Bytes>) -> ControlResponse {
+    let mut answer = text_response(status, body);
     answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     answer
 }
 
 /// A mistake of the caller's, as JSON.
-pub fn wrong(status: StatusCode, why: &str) -> Answer {
-    json(status, serde_json::json!({ "error": why }).to_string())
+pub fn error_response(status: StatusCode, why: &str) -> ControlResponse {
+    json_response(status, serde_json::json!({ "error": why }).to_string())
 }
 
 /// Takes calls for good; bodies have at most so many bytes.
 pub async fn serve<A, F>(listener: TcpListener, most_body: usize, answer: A)
 where
     A: Fn(Call, SocketAddr) -> F + 'static,
-    F: Future<Output = Answer> + 'static,
+    F: Future<Output = ControlResponse> + 'static,
 {
     let answer = Rc::new(answer);
     loop {
@@ -82,7 +82,7 @@
 async fn connection<A, F>(stream: TcpStream, peer: SocketAddr, most_body: usize, answer: Rc<A>)
 where
     A: Fn(Call, SocketAddr) -> F + 'static,
-    F: Future<Output = Answer> + 'static,
+    F: Future<Output = ControlResponse> + 'static,
 {
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request: Request<Incoming>| {
@@ -99,20 +99,27 @@
     let _ = builder.serve_connection(TokioIo::new(stream), service).await;
 }
 
-async fn read(request: Request<Incoming>, most: usize) -> Result<Call, Answer> {
+async fn read(request: Request<Incoming>, most: usize) -> Result<Call, ControlResponse> {
     let (head, body) = request.into_parts();
     let body = match timeout(BODY, Limited::new(body, most).collect()).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(_)) => {
             let why = format!("the body broke off or is longer than {most} bytes");
-            return Err(wrong(StatusCode::PAYLOAD_TOO_LARGE, &why));
+            return Err(error_response(StatusCode::PAYLOAD_TOO_LARGE, &why));
         }
-        Err(_) => return Err(wrong(StatusCode::REQUEST_TIMEOUT, "the body took too long")),
+        Err(_) => return Err(error_response(StatusCode::REQUEST_TIMEOUT, "the body took too long")),
     };
     let query = |name: &str| {
         let pairs = head.uri.query().unwrap_or("").split('&').filter_map(|p| p.split_once('='));
         pairs.filter(|(n, _)| *n == name).map(|(_, v)| v.to_owned()).next()
     };
-    let (name, of) = (query("call"), query("of"));
-    Ok(Call { method: head.method, path: head.uri.path().to_owned(), name, of, headers: head.headers, body })
+    let (name, target) = (query("call"), query("of"));
+    Ok(Call {
+        method: head.method,
+        path: head.uri.path().to_owned(),
+        name,
+        target,
+        headers: head.headers,
+        body,
+    })
 }
--- a/mesh/admin-http/src/metrics.rs
+++ b/mesh/admin-http/src/metrics.rs
@@ -7,7 +7,7 @@
 use sloeline_metrics::{Metrics, render};
 use tokio::net::TcpListener;
 
-use crate::control::{self, plain, wrong};
+use crate::control::{self, error_response, text_response};
 
 /// Where each process of the mesh serves its figures; `deploy/system.toml` names the same port.
 pub const PORT: u16 = 9464;
@@ -26,8 +26,8 @@
     };
     control::serve(listener, 0, move |call, _| {
         let answer = match call.method == Method::GET && call.path == PATH {
-            true => plain(StatusCode::OK, render(&lists)),
-            false => wrong(StatusCode::NOT_FOUND, "expected GET /metrics"),
+            true => text_response(StatusCode::OK, render(&lists)),
+            false => error_response(StatusCode::NOT_FOUND, "expected GET /metrics"),
         };
         async move { answer }
     })
--- a/mesh/admin-http/src/program.rs
+++ b/mesh/admin-http/src/program.rs
@@ -16,7 +16,7 @@
     /// Serves by a settings file until it is told to stop.
     pub run: fn(&Path) -> Result<()>,
     /// What it can do besides.
-    pub more: Vec<Subcommand>,
+    pub subcommands: Vec<Subcommand>,
 }
 
 /// A subcommand of one program alone. All of them take `--settings`.
@@ -47,7 +47,7 @@
             .subcommand_required(true)
             .subcommand(Command::new("run").about("Serves until SIGTERM").arg(settings.clone()).arg(log))
             .subcommand(Command::new("check").about("Checks a settings file").arg(settings.clone()))
-            .subcommands(self.more.iter().map(|more| more.command.clone().arg(settings.clone())))
+            .subcommands(self.subcommands.iter().map(|more| more.command.clone().arg(settings.clone())))
     }
 
     fn act(&self, matches: &ArgMatches) -> Result<ExitCode> {
@@ -64,10 +64,12 @@
                 println!("fine");
                 Ok(ExitCode::SUCCESS)
             }
-            Some((name, matches)) => match self.more.iter().find(|more| more.command.get_name() == name) {
-                Some(more) => (more.act)(&path(matches), matches),
-                None => Ok(ExitCode::FAILURE),
-            },
+            Some((name, matches)) => {
+                match self.subcommands.iter().find(|more| more.command.get_name() == name) {
+                    Some(more) => (more.act)(&path(matches), matches),
+                    None => Ok(ExitCode::FAILURE),
+                }
+            }
             None => Ok(ExitCode::SUCCESS),
         }
     }
--- a/mesh/admin-http/src/reload.rs
+++ b/mesh/admin-http/src/reload.rs
@@ -20,13 +20,13 @@
 pub type SettingsWatch = watch::Receiver<Arc<Settings>>;
 
 /// Settings that never change, for processes that are given theirs.
-pub fn fixed(settings: Settings) -> SettingsWatch {
+pub fn fixed_settings(settings: Settings) -> SettingsWatch {
     watch::Sender::new(Arc::new(settings)).subscribe()
 }
 
 /// Reads the file and follows it from then on. Must run inside a `LocalSet`. Fails if the file is not valid now; a later
 /// content that is not valid is logged and changes nothing.
-pub fn follow(path: PathBuf) -> Result<SettingsWatch> {
+pub fn watch_settings(path: PathBuf) -> Result<SettingsWatch> {
     let file = SettingsFile::open(path)?;
     let hangup = signal(SignalKind::hangup()).context("wait for SIGHUP")?;
     let sender = watch::Sender::new(Arc::new(file.settings().clone()));
--- a/mesh/config-transfer/src/fetch.rs
+++ b/mesh/config-transfer/src/fetch.rs
@@ -65,7 +65,11 @@
     /// What to ask a holder for next.
     pub fn request(&self) -> PieceRequest {
         let begun = self.begun.as_ref().map(|begun| (begun.transfer, begun.received.len() as u64));
-        PieceRequest { base: self.held.as_ref().map(|(base, _)| *base), begun, most: self.piece }
+        PieceRequest {
+            base: self.held.as_ref().map(|(base, _)| *base),
+            in_progress: begun,
+            max_bytes: self.piece,
+        }
     }
 
     /// A piece did not come: the next is smaller.
--- a/mesh/config-transfer/src/message.rs
+++ b/mesh/config-transfer/src/message.rs
@@ -55,9 +55,11 @@
     /// What the asker has.
     pub base: Option<Base>,
     /// The transfer that it has begun, and how many bytes of it have arrived.
-    pub begun: Option<(Transfer, u64)>,
+    #[serde(rename = "begun")]
+    pub in_progress: Option<(Transfer, u64)>,
     /// Most bytes of a piece.
-    pub most: u32,
+    #[serde(rename = "most")]
+    pub max_bytes: u32,
 }
 
 /// Consecutive bytes of a transfer.
--- a/mesh/config-transfer/src/source.rs
+++ b/mesh/config-transfer/src/source.rs
@@ -53,13 +53,13 @@
 
     /// The next piece for somebody who has and has begun this.
     pub fn answer(&mut self, request: &PieceRequest) -> PieceAnswer {
-        if let Some((transfer, received)) = &request.begun
+        if let Some((transfer, received)) = &request.in_progress
             && let Some(packed) = self.find(|known| known == transfer)
         {
-            return PieceAnswer::Piece(piece(packed, *received, request.most));
+            return PieceAnswer::Piece(piece(packed, *received, request.max_bytes));
         }
         match self.begin(request.base) {
-            Some(packed) => PieceAnswer::Piece(piece(packed, 0, request.most)),
+            Some(packed) => PieceAnswer::Piece(piece(packed, 0, request.max_bytes)),
             None => PieceAnswer::NothingNewer,
         }
     }
--- a/mesh/control-plane/src/commands.rs
+++ b/mesh/control-plane/src/commands.rs
@@ -12,7 +12,7 @@
 use sloeline_chain_replication::{Rows, Write};
 use sloeline_process_settings::Settings;
 use sloeline_rpc::link::Link;
-use sloeline_rpc::{Ask, Told};
+use sloeline_rpc::{RpcRequest, RpcResponse};
 use sloeline_storage::Store;
 use tokio::task::LocalSet;
 
@@ -48,7 +48,7 @@
         .arg(yes);
     vec![
         Subcommand { command: status, act: print_status },
-        Subcommand { command: restore, act: |settings, _| restore_alone(settings) },
+        Subcommand { command: restore, act: |settings, _| restore_from_disk(settings) },
     ]
 }
 
@@ -61,7 +61,7 @@
     if matches.get_flag("json") {
         println!("{status}");
     } else {
-        print!("{}", text(&status));
+        print!("{}", format_status(&status));
     }
     let in_contact = status["in_contact"].as_bool().unwrap_or(false);
     Ok(if in_contact { ExitCode::SUCCESS } else { ExitCode::from(OUT_OF_CONTACT) })
@@ -71,15 +71,15 @@
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().context("start the runtime")?;
     LocalSet::new().block_on(&runtime, async move {
-        match Link::new(at).ask(&Ask::Status, ANSWER_WITHIN).await? {
-            Told::Status(status) => serde_json::from_slice(&status).context("read the status"),
+        match Link::new(at).call(&RpcRequest::Status, ANSWER_WITHIN).await? {
+            RpcResponse::Status(status) => serde_json::from_slice(&status).context("read the status"),
             _ => bail!("status of {at}: found an answer to another question"),
         }
     })
 }
 
 /// The status as lines for people.
-pub fn text(status: &Value) -> String {
+pub fn format_status(status: &Value) -> String {
     let plain = |value: &Value| match value {
         Value::String(text) => text.clone(),
         Value::Null => "none".to_owned(),
@@ -129,7 +129,7 @@
 }
 
 /// Makes the store that the settings name the whole core. Fails without a store, or on one that does not open.
-pub fn restore_alone(path: &Path) -> Result<ExitCode> {
+pub fn restore_from_disk(path: &Path) -> Result<ExitCode> {
     let settings = Settings::read(path)?;
     let folder = settings.data_path.as_deref().context("data_path: found nothing, expected a folder")?;
     if !sloeline_storage::exists(folder)? {
--- a/mesh/control-plane/src/core.rs
+++ b/mesh/control-plane/src/core.rs
@@ -33,7 +33,7 @@
 const RETRY: u64 = 200;
 
 /// The chain's settings on a machine: its address, where others may be, and how many machines may be lost at once.
-pub fn settings(me: SocketAddr, seeds: Vec<SocketAddr>, machine_loss: usize) -> Settings {
+pub fn chain_settings(me: SocketAddr, seeds: Vec<SocketAddr>, machine_loss: usize) -> Settings {
     let (copies, target_voters) = (machine_loss + 1, 2 * machine_loss + 1);
     Settings { me, seeds, copies, target_voters, heartbeat: HEARTBEAT, silence: SILENCE, retry: RETRY }
 }
@@ -321,7 +321,7 @@
 
     /// Balancers hear who serves.
     fn show_core(&self) {
-        let shown = self.exchange.board().core().map(|core| core.round);
+        let shown = self.exchange.view().core().map(|core| core.round);
         let list = self.look(|node, _| {
             let view = node.view().filter(|_| node.active() && node.established())?;
             let newer = shown.is_none_or(|shown| shown < view.number.round);
@@ -335,7 +335,7 @@
 
     /// Balancers hear of a configuration once it is kept by all: what was never acknowledged by the chain may go.
     fn show_config(&self) {
-        let shown = self.exchange.board().config().map(|config| config.edition);
+        let shown = self.exchange.view().config().map(|config| config.edition);
         let (config, position, committed, active) = self.look(|node, _| {
             let config = node.tables().config().map(|config| config.edition);
             (config, node.position().sequence, node.committed(), node.active())
--- a/mesh/control-plane/src/links.rs
+++ b/mesh/control-plane/src/links.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use sloeline_chain_replication::Message;
-use sloeline_rpc::Ask;
+use sloeline_rpc::RpcRequest;
 use sloeline_rpc::link::Link;
 use tokio::time::Instant;
 
@@ -37,7 +37,7 @@
         let connection = connections
             .entry(to)
             .or_insert_with(|| Connection { link: Link::new(to), heard: Instant::now() });
-        connection.link.tell(&Ask::Chain { from: self.me, message: Box::new(message) });
+        connection.link.notify(&RpcRequest::Chain { from: self.me, message: Box::new(message) });
     }
 
     /// Something came from a machine.
--- a/mesh/control-plane/src/main.rs
+++ b/mesh/control-plane/src/main.rs
@@ -6,6 +6,7 @@
 
 fn main() -> ExitCode {
     let about = "Control plane of a sloeline mesh: configuration, keyed operations, who exists";
-    let more = sloeline_control_plane::commands::all();
-    Program { name: "sloeline-control-plane", about, run: sloeline_control_plane::program::run, more }.main()
+    let subcommands = sloeline_control_plane::commands::all();
+    Program { name: "sloeline-control-plane", about, run: sloeline_control_plane::program::run, subcommands }
+        .main()
 }
--- a/mesh/control-plane/src/operator.rs
+++ b/mesh/control-plane/src/operator.rs
@@ -8,7 +8,7 @@
 use hyper::header::{HeaderValue, LOCATION, RETRY_AFTER};
 use hyper::{Method, StatusCode};
 use log::info;
-use sloeline_admin_http::control::{Answer, Call, json, plain, wrong};
+use sloeline_admin_http::control::{Call, ControlResponse, error_response, json_response, text_response};
 use sloeline_discovery::Config;
 use sloeline_route_config::model;
 
@@ -27,12 +27,15 @@
 const COME_AGAIN: &str = "0.25";
 
 /// Answers a call.
-pub async fn answer(core: Rc<Core>, dock: SocketAddr, call: Call) -> Answer {
+pub async fn answer(core: Rc<Core>, dock: SocketAddr, call: Call) -> ControlResponse {
     if call.path != "/-/rpc" {
-        return wrong(StatusCode::NOT_FOUND, &format!("path: found {:?}, expected /-/rpc", call.path));
+        return error_response(
+            StatusCode::NOT_FOUND,
+            &format!("path: found {:?}, expected /-/rpc", call.path),
+        );
     }
     if call.method != Method::POST {
-        return wrong(
+        return error_response(
             StatusCode::METHOD_NOT_ALLOWED,
             &format!("method: found {}, expected POST", call.method),
         );
@@ -43,34 +46,34 @@
         other => {
             let found = other.unwrap_or("nothing");
             let why = format!("call: found {found:?}, expected config.replace or config.read");
-            wrong(StatusCode::NOT_FOUND, &why)
+            error_response(StatusCode::NOT_FOUND, &why)
         }
     }
 }
 
 /// Out of contact with a majority: another machine that has contact, or when to come again. Nothing has happened.
-fn elsewhere(core: &Core, dock: SocketAddr, call: &str) -> Answer {
+fn elsewhere(core: &Core, dock: SocketAddr, call: &str) -> ControlResponse {
     // Ports are alike on all core machines.
     if let Some(peer) = core.peer_in_contact() {
         let to = format!("http://{}/-/rpc?call={call}", SocketAddr::new(peer.ip(), dock.port()));
         if let Ok(location) = HeaderValue::from_str(&to) {
-            let mut answer = plain(StatusCode::TEMPORARY_REDIRECT, "out of contact with a majority");
+            let mut answer = text_response(StatusCode::TEMPORARY_REDIRECT, "out of contact with a majority");
             answer.headers_mut().insert(LOCATION, location);
             return answer;
         }
     }
-    let mut answer = wrong(StatusCode::SERVICE_UNAVAILABLE, "chain: out of contact with a majority");
+    let mut answer = error_response(StatusCode::SERVICE_UNAVAILABLE, "chain: out of contact with a majority");
     answer.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static(COME_AGAIN));
     answer
 }
 
-async fn replace(core: &Core, dock: SocketAddr, body: Bytes) -> Answer {
+async fn replace(core: &Core, dock: SocketAddr, body: Bytes) -> ControlResponse {
     let config = match model::Config::parse(&body) {
         Ok(config) => config,
         Err(why) => {
             let why = format!("{why:#}");
             info!(target: "operator", "Refused a configuration: {why}.");
-            return wrong(StatusCode::BAD_REQUEST, &why);
+            return error_response(StatusCode::BAD_REQUEST, &why);
         }
     };
     if !core.wait_for_contact(CONTACT_WITHIN).await {
@@ -81,28 +84,28 @@
     match core.change(&Change::Config(Config { edition, body }), within).await {
         Ok(ChangeResult::Taken { holds }) => {
             let body = serde_json::json!({ "edition": format!("{holds:08x}") });
-            json(StatusCode::OK, body.to_string())
+            json_response(StatusCode::OK, body.to_string())
         }
         Ok(ChangeResult::Conflict { holds }) => {
             let why =
                 format!("edition: found {holds:08x} with other content than is held, expected a higher one");
             info!(target: "operator", "Refused a configuration: {why}.");
-            wrong(StatusCode::CONFLICT, &why)
+            error_response(StatusCode::CONFLICT, &why)
         }
-        Ok(_) => wrong(StatusCode::INTERNAL_SERVER_ERROR, "chain: an answer to another question"),
+        Ok(_) => error_response(StatusCode::INTERNAL_SERVER_ERROR, "chain: an answer to another question"),
         // Perhaps taken, perhaps not: no promise.
-        Err(why) => wrong(StatusCode::GATEWAY_TIMEOUT, &format!("{why:#}")),
+        Err(why) => error_response(StatusCode::GATEWAY_TIMEOUT, &format!("{why:#}")),
     }
 }
 
-async fn read(core: &Core, dock: SocketAddr) -> Answer {
+async fn read(core: &Core, dock: SocketAddr) -> ControlResponse {
     if !core.wait_for_contact(CONTACT_WITHIN).await {
         return elsewhere(core, dock, "config.read");
     }
     match core.change(&Change::Read, READ_WITHIN).await {
-        Ok(ChangeResult::Config(Some(config))) => json(StatusCode::OK, config.body),
-        Ok(ChangeResult::Config(None)) => wrong(StatusCode::NOT_FOUND, "no configuration yet"),
-        Ok(_) => plain(StatusCode::INTERNAL_SERVER_ERROR, "chain: an answer to another question"),
-        Err(why) => wrong(StatusCode::GATEWAY_TIMEOUT, &format!("{why:#}")),
+        Ok(ChangeResult::Config(Some(config))) => json_response(StatusCode::OK, config.body),
+        Ok(ChangeResult::Config(None)) => error_response(StatusCode::NOT_FOUND, "no configuration yet"),
+        Ok(_) => text_response(StatusCode::INTERNAL_SERVER_ERROR, "chain: an answer to another question"),
+        Err(why) => error_response(StatusCode::GATEWAY_TIMEOUT, &format!("{why:#}")),
     }
 }
--- a/mesh/control-plane/src/program.rs
+++ b/mesh/control-plane/src/program.rs
@@ -15,9 +15,9 @@
 use sloeline_idempotency::Update;
 use sloeline_process_settings::Settings;
 use sloeline_route_config::model::MOST_BYTES;
-use sloeline_rpc::exchange::{Exchange, Following};
+use sloeline_rpc::exchange::{Exchange, PeerSync};
 use sloeline_rpc::serve::serve;
-use sloeline_rpc::{Ask, Told};
+use sloeline_rpc::{RpcRequest, RpcResponse};
 use sloeline_storage::Store;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
@@ -51,7 +51,8 @@
 pub fn run(path: &Path) -> Result<()> {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().context("start the runtime")?;
-    LocalSet::new().block_on(&runtime, async { work(reload::follow(path.to_owned())?).await })
+    LocalSet::new()
+        .block_on(&runtime, async { run_with_settings(reload::watch_settings(path.to_owned())?).await })
 }
 
 /// The store of this machine, made if there is none. One that can't be opened now is tried again for good: only a file that
@@ -120,7 +121,7 @@
 }
 
 /// The whole life of one, by its settings.
-pub async fn work(watched: SettingsWatch) -> Result<()> {
+pub async fn run_with_settings(watched: SettingsWatch) -> Result<()> {
     let settings = Settings::clone(&watched.borrow());
     let me = settings.mesh_address();
     let seeds = seeds(&settings);
@@ -142,7 +143,7 @@
     let guarantees = settings.guarantees()?;
     let key_window = guarantees.key_window.millis();
     let machine_loss = settings.tolerance.machine_loss as usize;
-    let chain = core::settings(me, seeds, machine_loss);
+    let chain = core::chain_settings(me, seeds, machine_loss);
     let core = Core::new(chain, durable, rows, key_window, writes, exchange.clone());
     let bind = settings.mesh_bind_address();
     let listener = TcpListener::bind(bind).await.with_context(|| format!("listen at {bind}"))?;
@@ -150,7 +151,7 @@
         let (core, exchange) = (core.clone(), exchange.clone());
         move |ask| answer(core.clone(), exchange.clone(), ask)
     }));
-    if let Some(dock) = settings.docks.control_dock {
+    if let Some(dock) = settings.listen_addrs.control {
         let listener = TcpListener::bind(dock).await.with_context(|| format!("listen at {dock}"))?;
         let core = core.clone();
         spawn_local(control::serve(listener, MOST_BYTES, move |call, _| {
@@ -167,7 +168,7 @@
     let stopping = async {
         stop.recv().await;
         info!(target: "stop", "Told to stop.");
-        exchange.announce(|own| own.leaving = true);
+        exchange.update_local_record(|own| own.leaving = true);
         core.leave(guarantees.grace.duration().saturating_sub(MARGIN)).await;
         info!(target: "stop", "Ends.");
     };
@@ -187,7 +188,7 @@
 
 /// Follows all other core machines that are known, as they come and go; never returns.
 async fn follow_core(core: Rc<Core>, exchange: Rc<Exchange>) {
-    let mut following: HashMap<SocketAddr, Following> = HashMap::new();
+    let mut following: HashMap<SocketAddr, PeerSync> = HashMap::new();
     loop {
         let known = core.look(|node, _| node.known_peers());
         following.retain(|peer, _| known.contains(peer));
@@ -206,7 +207,7 @@
     }
     let lost = pull.clone();
     tokio::select! {
-        news = exchange.answer(pull) => match core.in_contact() {
+        news = exchange.answer_pull(pull) => match core.in_contact() {
             true => news,
             false => News { offered: None, core: None, out_of_contact: true, ..news },
         },
@@ -216,48 +217,50 @@
 
 /// Who exists is told by its sources and can't be wrong, only late; a configuration and a list of the core could be old.
 async fn out_of_contact(exchange: &Exchange, pull: Pull) -> News {
-    let news = exchange.answer(Pull { hold: 0, ..pull }).await;
+    let news = exchange.answer_pull(Pull { hold: 0, ..pull }).await;
     News { offered: None, core: None, out_of_contact: true, ..news }
 }
 
-async fn answer_operation(core: &Core, update: Update) -> Told {
+async fn answer_operation(core: &Core, update: Update) -> RpcResponse {
     if core.open_changes() >= MOST_OPEN_CHANGES {
-        return Told::Unable("chain: too many changes wait for their result".to_owned());
+        return RpcResponse::Unavailable("chain: too many changes wait for their result".to_owned());
     }
     if !core.wait_for_contact(CONTACT_WITHIN).await {
-        return Told::Unable("chain: out of contact with a majority".to_owned());
+        return RpcResponse::Unavailable("chain: out of contact with a majority".to_owned());
     }
     match core.change(&Change::Key(update), OPERATION).await {
-        Ok(ChangeResult::Key(outcome)) => Told::Operation(outcome),
-        Ok(_) => Told::Unable("chain: an answer to another question".to_owned()),
-        Err(why) => Told::Unable(format!("{why:#}")),
+        Ok(ChangeResult::Key(outcome)) => RpcResponse::Operation(outcome),
+        Ok(_) => RpcResponse::Unavailable("chain: an answer to another question".to_owned()),
+        Err(why) => RpcResponse::Unavailable(format!("{why:#}")),
     }
 }
 
-async fn answer(core: Rc<Core>, exchange: Rc<Exchange>, ask: Ask) -> Option<Told> {
+async fn answer(core: Rc<Core>, exchange: Rc<Exchange>, ask: RpcRequest) -> Option<RpcResponse> {
     match ask {
-        Ask::Chain { from, message } => {
+        RpcRequest::Chain { from, message } => {
             core.receive(from, *message);
             None
         }
-        Ask::Pull(pull) => {
+        RpcRequest::Pull(pull) => {
             core.followers.pulled(&pull);
-            Some(Told::News(answer_pull(&core, &exchange, pull).await))
+            Some(RpcResponse::Updates(answer_pull(&core, &exchange, pull).await))
         }
-        Ask::Compare { .. } if !core.in_contact() => {
-            Some(Told::Unable("chain: out of contact with a majority".to_owned()))
+        RpcRequest::CompareDigest { .. } if !core.in_contact() => {
+            Some(RpcResponse::Unavailable("chain: out of contact with a majority".to_owned()))
         }
-        Ask::Compare { digest } => Some(exchange.compare(digest)),
-        Ask::ConfigPiece(request) if request.begun.is_none() && !core.in_contact() => {
-            Some(Told::Unable("chain: out of contact with a majority".to_owned()))
+        RpcRequest::CompareDigest { digest } => Some(exchange.compare_digest(digest)),
+        RpcRequest::ConfigPiece(request) if request.in_progress.is_none() && !core.in_contact() => {
+            Some(RpcResponse::Unavailable("chain: out of contact with a majority".to_owned()))
         }
-        Ask::ConfigPiece(request) => Some(Told::ConfigPiece(exchange.piece(&request))),
-        Ask::Tell(records) => {
-            exchange.told(records);
-            Some(Told::Done)
+        RpcRequest::ConfigPiece(request) => Some(RpcResponse::ConfigPiece(exchange.config_piece(&request))),
+        RpcRequest::PushRecords(records) => {
+            exchange.apply_records(records);
+            Some(RpcResponse::Done)
         }
-        Ask::Operation(update) => Some(answer_operation(&core, update).await),
-        Ask::Recall { .. } | Ask::Keep { .. } => Some(Told::Unable("core machines run nothing".to_owned())),
-        Ask::Status => Some(Told::Status(status(&core).to_string().into())),
+        RpcRequest::Operation(update) => Some(answer_operation(&core, update).await),
+        RpcRequest::QueryRun { .. } | RpcRequest::StoreAnswer { .. } => {
+            Some(RpcResponse::Unavailable("core machines run nothing".to_owned()))
+        }
+        RpcRequest::Status => Some(RpcResponse::Status(status(&core).to_string().into())),
     }
 }
--- a/mesh/control-plane/tests/catch_up.rs
+++ b/mesh/control-plane/tests/catch_up.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use sloeline_chain_replication::message::Supply;
 use sloeline_chain_replication::{DurableState, Message, Node, Output, Rows, VoterSet, Write};
-use sloeline_control_plane::core::settings;
+use sloeline_control_plane::core::chain_settings;
 use sloeline_control_plane::tables::{Change, State};
 use sloeline_discovery::Config;
 use sloeline_idempotency::Update;
@@ -90,7 +90,7 @@
     }
 
     fn boot(&mut self, at: usize) {
-        let settings = settings(self.peers[at], self.peers.clone(), 1);
+        let settings = chain_settings(self.peers[at], self.peers.clone(), 1);
         let rows: Rows = self.disks[at].rows.clone().into_iter().collect();
         let durable = self.disks[at].durable.clone();
         assert_eq!(durable.digest, rows.digest(), "what is on disk is whole at any time");
--- a/mesh/data-plane/src/core_client.rs
+++ b/mesh/data-plane/src/core_client.rs
@@ -9,7 +9,7 @@
 
 use anyhow::{Result, anyhow};
 use sloeline_rpc::link::Link;
-use sloeline_rpc::{Ask, Told};
+use sloeline_rpc::{RpcRequest, RpcResponse};
 use tokio::sync::{Semaphore, SemaphorePermit, watch};
 use tokio::time::{Instant, sleep_until};
 
@@ -66,7 +66,7 @@
     }
 
     /// The answer of a core machine, if there is one before `until`. Without one the call may have been taken.
-    pub async fn call(&self, ask: &Ask, until: Instant) -> Result<Told> {
+    pub async fn call(&self, ask: &RpcRequest, until: Instant) -> Result<RpcResponse> {
         loop {
             let _probing = self.turn(until).await?;
             let why = match self.ask_each(ask, until).await {
@@ -103,7 +103,7 @@
     }
 
     /// Asks each machine once, until one answers.
-    async fn ask_each(&self, ask: &Ask, until: Instant) -> Result<Told, NoAnswer> {
+    async fn ask_each(&self, ask: &RpcRequest, until: Instant) -> Result<RpcResponse, NoAnswer> {
         let links = self.links.borrow().clone();
         let mut last = anyhow!("core: no machine of it is known");
         let mut conclusive = links.is_empty();
@@ -114,8 +114,8 @@
             }
             metrics::KEY_CALLS.increment();
             let asked = Instant::now();
-            match link.ask(ask, left.min(PATIENCE)).await {
-                Ok(Told::Unable(why)) => last = anyhow!("core {}: {why}", link.address()),
+            match link.call(ask, left.min(PATIENCE)).await {
+                Ok(RpcResponse::Unavailable(why)) => last = anyhow!("core {}: {why}", link.address()),
                 Ok(told) => return Ok(told),
                 Err(why) => last = why,
             }
--- a/mesh/data-plane/src/follow.rs
+++ b/mesh/data-plane/src/follow.rs
@@ -10,7 +10,7 @@
 use sloeline_admin_http::reload::SettingsWatch;
 use sloeline_discovery::{Record, rendezvous};
 use sloeline_process_settings::Settings;
-use sloeline_rpc::exchange::{Exchange, Following};
+use sloeline_rpc::exchange::{Exchange, PeerSync};
 use tokio::time::Instant;
 
 use crate::keys::Keys;
@@ -31,7 +31,7 @@
     settings: SettingsWatch,
     exchange: Rc<Exchange>,
     keys: Rc<Keys>,
-    now: RefCell<HashMap<SocketAddr, Following>>,
+    now: RefCell<HashMap<SocketAddr, PeerSync>>,
     reached: Cell<bool>,
     since: Instant,
 }
@@ -51,7 +51,7 @@
     /// Follows the nearest core machine that answers and looks at others, as rendezvous hashing names them; other balancers
     /// only while no core machine answers.
     pub fn choose(&self) {
-        let records = self.exchange.board().records();
+        let records = self.exchange.view().records();
         let settings = self.settings.borrow().clone();
         let me = settings.node_name.as_str();
         let mut core = self.core_machines(&settings, &records);
@@ -64,7 +64,7 @@
         self.keys.set_core(&core);
         let mut now = self.now.borrow_mut();
         let fresh = |address: &SocketAddr| {
-            now.get(address).and_then(Following::reached).is_some_and(|at| at.elapsed() < STALE)
+            now.get(address).and_then(PeerSync::last_contact).is_some_and(|at| at.elapsed() < STALE)
         };
         // As many as may be lost, and one more.
         let few = (settings.tolerance.machine_loss as usize + 1).min(core.len());
@@ -87,7 +87,7 @@
         for (address, hold) in wanted {
             now.entry(address).or_insert_with(|| match hold {
                 Some(hold) => self.exchange.follow(address, hold),
-                None => self.exchange.look_at(address, LOOK),
+                None => self.exchange.poll(address, LOOK),
             });
         }
     }
@@ -97,16 +97,16 @@
     fn core_machines(&self, settings: &Settings, records: &BTreeMap<String, Rc<Record>>) -> Vec<SocketAddr> {
         let now = self.now.borrow();
         let answers = |address: &SocketAddr| {
-            now.get(address).and_then(Following::reached).is_some_and(|at| at.elapsed() < STALE)
+            now.get(address).and_then(PeerSync::last_contact).is_some_and(|at| at.elapsed() < STALE)
         };
-        if let Some(list) = self.exchange.board().core()
+        if let Some(list) = self.exchange.view().core()
             && list.machines.iter().any(answers)
         {
             return list.machines.clone();
         }
         let seeds = settings.seed_nodes.iter().map(|seed| settings.mesh_address_of(*seed));
         let records = records.values().filter(|record| record.core && !record.leaving).map(|r| r.mesh);
-        let list = self.exchange.board().core();
+        let list = self.exchange.view().core();
         let listed = list.iter().flat_map(|list| list.machines.iter().copied());
         let mut core: Vec<SocketAddr> = seeds.chain(records).chain(listed).collect();
         core.sort_unstable();
@@ -116,7 +116,7 @@
 
     /// Some other process has told what it knows in this life.
     pub fn reached(&self) -> bool {
-        let reached = self.reached.get() || self.now.borrow().values().any(|f| f.reached().is_some());
+        let reached = self.reached.get() || self.now.borrow().values().any(|f| f.last_contact().is_some());
         self.reached.set(reached);
         reached
     }
--- a/mesh/data-plane/src/keys.rs
+++ b/mesh/data-plane/src/keys.rs
@@ -11,7 +11,7 @@
 use log::debug;
 use sloeline_idempotency::{Answer, Outcome, Update};
 use sloeline_rpc::link::Link;
-use sloeline_rpc::{Ask, Told};
+use sloeline_rpc::{RpcRequest, RpcResponse};
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
@@ -67,8 +67,8 @@
     }
 
     async fn ask(&self, update: Update, until: Instant) -> Result<Outcome> {
-        match self.core.call(&Ask::Operation(update), until).await? {
-            Told::Operation(outcome) => Ok(outcome),
+        match self.core.call(&RpcRequest::Operation(update), until).await? {
+            RpcResponse::Operation(outcome) => Ok(outcome),
             _ => bail!("core: an answer to another question"),
         }
     }
@@ -92,14 +92,14 @@
     }
 
     /// Asks a holder of an answer what came of a run.
-    pub async fn recall(&self, holder: SocketAddr, key: &Bytes, run: u64) -> Result<Told> {
+    pub async fn recall(&self, holder: SocketAddr, key: &Bytes, run: u64) -> Result<RpcResponse> {
         let link = self.holder(holder);
-        link.ask(&Ask::Recall { key: key.clone(), run }, RECALL).await
+        link.call(&RpcRequest::QueryRun { key: key.clone(), run }, RECALL).await
     }
 
     /// Gives an answer to another machine, in case this one forgets it.
     pub fn keep(&self, keeper: SocketAddr, key: Bytes, run: u64, answer: Answer) {
-        self.holder(keeper).tell(&Ask::Keep { key, run, answer });
+        self.holder(keeper).notify(&RpcRequest::StoreAnswer { key, run, answer });
     }
 
     fn holder(&self, address: SocketAddr) -> Rc<Link> {
--- a/mesh/data-plane/src/main.rs
+++ b/mesh/data-plane/src/main.rs
@@ -6,6 +6,11 @@
 
 fn main() -> ExitCode {
     let about = "Data plane of a sloeline mesh: the balancer beside an application instance";
-    Program { name: "sloeline-data-plane", about, run: sloeline_data_plane::program::run, more: Vec::new() }
-        .main()
+    Program {
+        name: "sloeline-data-plane",
+        about,
+        run: sloeline_data_plane::program::run,
+        subcommands: Vec::new(),
+    }
+    .main()
 }
--- a/mesh/data-plane/src/program.rs
+++ b/mesh/data-plane/src/program.rs
@@ -10,7 +10,9 @@
 use hyper::header::HeaderValue;
 use hyper::{Method, StatusCode};
 use log::{info, warn};
-use sloeline_admin_http::control::{self, Answer, Call, json, plain, wrong};
+use sloeline_admin_http::control::{
+    self, Call, ControlResponse, error_response, json_response, text_response,
+};
 use sloeline_admin_http::reload::{self, SettingsWatch};
 use sloeline_discovery::{Record, Version};
 use sloeline_engine::clock::Clock;
@@ -24,7 +26,7 @@
 use sloeline_route_config::table::Table;
 use sloeline_rpc::exchange::Exchange;
 use sloeline_rpc::serve::serve;
-use sloeline_rpc::{Ask, Told};
+use sloeline_rpc::{RpcRequest, RpcResponse};
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
@@ -70,7 +72,7 @@
 pub fn run(path: &Path) -> Result<()> {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().context("start the runtime")?;
-    LocalSet::new().block_on(&runtime, async { work(reload::follow(path.to_owned())?).await })
+    LocalSet::new().block_on(&runtime, async { work(reload::watch_settings(path.to_owned())?).await })
 }
 
 fn unix_micros() -> u64 {
@@ -106,11 +108,11 @@
         zone: settings.zone_name.clone(),
         core: false,
         leaving: false,
-        incoming: settings.docks.incoming,
+        incoming: settings.listen_addrs.incoming,
         upstream: None,
     };
     let exchange = Exchange::new(own);
-    let sender = settings.line.clone().context("line: found nothing, expected this machine's service")?;
+    let sender = settings.service.clone().context("line: found nothing, expected this machine's service")?;
     let sender = HeaderValue::from_str(&sender).context("line: expected what may stand in a header")?;
     let free = settings.size_limits.file_handles.saturating_sub(RESERVED).max(16) as f64;
     let (places, connections) = ((free * CALLERS) as usize, (free * (1.0 - CALLERS)) as usize);
@@ -146,10 +148,10 @@
     let callers = Callers::new(Outgoing::new(sender, bodies, clock.clone()), first, phase);
 
     let mesh = TcpListener::bind(settings.mesh_bind_address()).await.context("listen for the mesh")?;
-    let incoming = listen("incoming", settings.docks.incoming).await?;
-    let outgoing = listen("outgoing", settings.docks.outgoing).await?;
-    let readiness = listen("readiness", settings.docks.readiness).await?;
-    let dock = listen("control_dock", settings.docks.control_dock).await?;
+    let incoming = listen("incoming", settings.listen_addrs.incoming).await?;
+    let outgoing = listen("outgoing", settings.listen_addrs.outgoing).await?;
+    let readiness = listen("readiness", settings.listen_addrs.readiness).await?;
+    let dock = listen("control_dock", settings.listen_addrs.control).await?;
     spawn_local(serve(mesh, {
         let (exchange, receiver) = (exchange.clone(), receiver.clone());
         move |ask| answer(exchange.clone(), receiver.clone(), ask)
@@ -161,8 +163,8 @@
             let ready = call.path == "/-/ready" && callers.front().is_ready();
             async move {
                 match ready {
-                    true => plain(StatusCode::OK, "ready"),
-                    false => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
+                    true => text_response(StatusCode::OK, "ready"),
+                    false => text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
                 }
             }
         }
@@ -200,7 +202,7 @@
         let _ = stop.recv().await;
         info!(target: "stop", "Told to stop.");
         callers.front().set_ready(false);
-        exchange.announce(|own| own.leaving = true);
+        exchange.update_local_record(|own| own.leaving = true);
         let _ = phases.send(Phase::Stopping);
         Instant::now()
     };
@@ -218,33 +220,33 @@
 }
 
 /// What other processes ask.
-async fn answer(exchange: Rc<Exchange>, receiver: Rc<Receiver>, ask: Ask) -> Option<Told> {
+async fn answer(exchange: Rc<Exchange>, receiver: Rc<Receiver>, ask: RpcRequest) -> Option<RpcResponse> {
     match ask {
-        Ask::Pull(pull) => Some(Told::News(exchange.answer(pull).await)),
-        Ask::Compare { digest } => Some(exchange.compare(digest)),
-        Ask::ConfigPiece(request) => Some(Told::ConfigPiece(exchange.piece(&request))),
-        Ask::Tell(records) => {
-            exchange.told(records);
-            Some(Told::Done)
+        RpcRequest::Pull(pull) => Some(RpcResponse::Updates(exchange.answer_pull(pull).await)),
+        RpcRequest::CompareDigest { digest } => Some(exchange.compare_digest(digest)),
+        RpcRequest::ConfigPiece(request) => Some(RpcResponse::ConfigPiece(exchange.config_piece(&request))),
+        RpcRequest::PushRecords(records) => {
+            exchange.apply_records(records);
+            Some(RpcResponse::Done)
         }
-        Ask::Recall { key, run } => Some(receiver.recall(&key, run)),
-        Ask::Keep { key, run, answer } => {
+        RpcRequest::QueryRun { key, run } => Some(receiver.recall(&key, run)),
+        RpcRequest::StoreAnswer { key, run, answer } => {
             receiver.keep(&key, run, answer);
             None
         }
-        Ask::Chain { .. } => None,
-        Ask::Operation(_) => Some(Told::Unable("a balancer keeps no keys".to_owned())),
-        Ask::Status => Some(Told::Status("{}".into())),
+        RpcRequest::Chain { .. } => None,
+        RpcRequest::Operation(_) => Some(RpcResponse::Unavailable("a balancer keeps no keys".to_owned())),
+        RpcRequest::Status => Some(RpcResponse::Status("{}".into())),
     }
 }
 
 /// A call of this machine's upstream.
-fn beat(receiver: &Receiver, call: &Call) -> Answer {
+fn beat(receiver: &Receiver, call: &Call) -> ControlResponse {
     if call.path != "/-/rpc" || call.method != Method::POST {
-        return wrong(StatusCode::NOT_FOUND, "expected POST /-/rpc");
+        return error_response(StatusCode::NOT_FOUND, "expected POST /-/rpc");
     }
-    let Some(id) = call.of.as_deref().filter(|id| !id.is_empty() && id.len() <= 255) else {
-        return wrong(StatusCode::BAD_REQUEST, "of: expected an upstream's id of 1 to 255 bytes");
+    let Some(id) = call.target.as_deref().filter(|id| !id.is_empty() && id.len() <= 255) else {
+        return error_response(StatusCode::BAD_REQUEST, "of: expected an upstream's id of 1 to 255 bytes");
     };
     match call.name.as_deref() {
         Some("upstreams.beat") => match Beat::parse(&call.body) {
@@ -252,17 +254,17 @@
                 if receiver.beats(|beats| beats.beat(unix_micros(), id, &beat)) {
                     info!(target: "upstream", "{id} is {:?}.", beat.tracking.condition);
                 }
-                json(StatusCode::OK, "{}")
+                json_response(StatusCode::OK, "{}")
             }
-            Err(why) => wrong(StatusCode::BAD_REQUEST, &format!("{why:#}")),
+            Err(why) => error_response(StatusCode::BAD_REQUEST, &format!("{why:#}")),
         },
         Some("upstreams.leave") => {
             if receiver.beats(|beats| beats.leave(id)) {
                 info!(target: "upstream", "{id} has left.");
             }
-            json(StatusCode::OK, "{}")
+            json_response(StatusCode::OK, "{}")
         }
-        _ => wrong(StatusCode::NOT_FOUND, "call: expected upstreams.beat or upstreams.leave"),
+        _ => error_response(StatusCode::NOT_FOUND, "call: expected upstreams.beat or upstreams.leave"),
     }
 }
 
@@ -275,14 +277,14 @@
     places: usize,
     grace: Duration,
 ) {
-    let mut changes = exchange.changes();
+    let mut changes = exchange.subscribe();
     let mut services = Services::default();
     services.set_cutting(false);
     let mut planned = None;
     loop {
         changes.mark_unchanged();
         follow.choose();
-        let (records, config) = (exchange.board().records(), exchange.board().config());
+        let (records, config) = (exchange.view().records(), exchange.view().config());
         if let Some(config) = config
             && planned != Some(config.edition)
         {
@@ -305,7 +307,7 @@
             planned = Some(config.edition);
         }
         services.list(&records);
-        let leaving = exchange.own().leaving;
+        let leaving = exchange.local_record().leaving;
         services.set_cutting(!leaving && follow.age() > (grace + AFTER_GRACE).saturating_sub(STILL));
         callers.front().set_ready(!leaving && planned.is_some() && services.listed() && follow.reached());
         tokio::select! {
--- a/mesh/data-plane/src/receive.rs
+++ b/mesh/data-plane/src/receive.rs
@@ -24,7 +24,7 @@
 use sloeline_http::upload::Sent;
 use sloeline_http::upstream::{Call, Relayed, Reply, Upstreams};
 use sloeline_idempotency::{Answer, Entry, Ledger, Outcome};
-use sloeline_rpc::Told;
+use sloeline_rpc::RpcResponse;
 use sloeline_rpc::exchange::Exchange;
 use sloeline_settings::setup::ring;
 use tokio::net::{TcpListener, TcpStream};
@@ -180,7 +180,7 @@
             gate.set(state, slots);
         }
         self.changed.notify_one();
-        self.exchange.announce(|own| own.upstream = upstream);
+        self.exchange.update_local_record(|own| own.upstream = upstream);
         done
     }
 
@@ -453,24 +453,25 @@
     }
 
     /// What this machine knows of a run that another request has begun.
-    fn recalled(&self, key: &Bytes, run: u64) -> Option<Told> {
+    fn recalled(&self, key: &Bytes, run: u64) -> Option<RpcResponse> {
         match self.ledger.borrow().get(key) {
             Some((known, entry)) if *known == run => Some(match entry {
-                Entry::Running => Told::Running,
-                Entry::Ran(answer) => Told::Ran(answer.clone()),
+                Entry::Running => RpcResponse::RunInProgress,
+                Entry::Ran(answer) => RpcResponse::RunFinished(answer.clone()),
             }),
             _ => None,
         }
     }
 
     /// Answers another balancer that asks for it.
-    pub fn recall(&self, key: &Bytes, run: u64) -> Told {
-        self.recalled(key, run).unwrap_or_else(|| Told::Unable("this run is not known here".to_owned()))
+    pub fn recall(&self, key: &Bytes, run: u64) -> RpcResponse {
+        self.recalled(key, run)
+            .unwrap_or_else(|| RpcResponse::Unavailable("this run is not known here".to_owned()))
     }
 
     /// The balancers that keep answers for a holder in case it forgets them: of its own zone, the nearest by rendezvous.
     fn keepers(&self, holder: &str) -> Vec<SocketAddr> {
-        let records = self.exchange.board().records();
+        let records = self.exchange.view().records();
         let Some(zone) = records.get(holder).map(|r| r.zone.as_str()) else { return Vec::new() };
         let near = records.values().filter(|r| !r.core && r.zone == zone).map(|r| r.source.as_str());
         let picked = picks(holder, near, KEEPERS);
@@ -484,22 +485,22 @@
 
     /// The answer to a repeat.
     async fn repeat(&self, key: &Bytes, run: u64, holder: &str, id: Option<HeaderValue>) -> Answered {
-        let me = self.exchange.own();
+        let me = self.exchange.local_record();
         let mut told = self.recalled(key, run);
         let mut ask = Vec::new();
         if me.source != holder {
-            ask.extend(self.exchange.board().records().get(holder).map(|r| r.mesh));
+            ask.extend(self.exchange.view().records().get(holder).map(|r| r.mesh));
         }
         ask.extend(self.keepers(holder));
         for mesh in ask.into_iter().filter(|mesh| *mesh != me.mesh) {
-            if matches!(told, Some(Told::Running | Told::Ran(Some(_)))) {
+            if matches!(told, Some(RpcResponse::RunInProgress | RpcResponse::RunFinished(Some(_)))) {
                 break;
             }
             told = self.keys.recall(mesh, key, run).await.ok();
         }
         match told {
-            Some(Told::Running) => plain(StatusCode::CONFLICT, "this key is at work"),
-            Some(Told::Ran(Some(answer))) => again(answer, id),
+            Some(RpcResponse::RunInProgress) => plain(StatusCode::CONFLICT, "this key is at work"),
+            Some(RpcResponse::RunFinished(Some(answer))) => again(answer, id),
             _ => {
                 debug!(target: "repeat", "The answer to a run of {holder} is lost.");
                 plain(StatusCode::BAD_GATEWAY, "it ran or may have run, and its answer is lost")
@@ -510,7 +511,7 @@
     async fn keyed(self: Rc<Self>, going: Going, key: Bytes) -> Answered {
         let known = self.ledger.borrow().get(&key).map(|(run, _)| *run);
         if let Some(run) = known {
-            let own = self.exchange.own().source;
+            let own = self.exchange.local_record().source;
             return self.repeat(&key, run, &own, going.id).await;
         }
         let run = fastrand::u64(1..);
@@ -551,7 +552,7 @@
                     Ok(whole) => whole,
                     Err(answer) => (answer, None),
                 };
-                let me = self.exchange.own().source;
+                let me = self.exchange.local_record().source;
                 if let (Some(answer), Some(keeper)) = (&kept, self.keepers(&me).first()) {
                     self.keys.keep(*keeper, key.clone(), run, answer.clone());
                 }
--- a/mesh/data-plane/src/services.rs
+++ b/mesh/data-plane/src/services.rs
@@ -190,7 +190,7 @@
         let mut wanted: BTreeMap<(&str, String), Vec<Slot>> = BTreeMap::new();
         for route in table.routes() {
             let slot = slot(route);
-            for (line, _) in route.dispatch.parts() {
+            for (line, _) in route.dispatch.weighted_services() {
                 let apart =
                     wanted.range((line, String::new())..).take_while(|((l, _), _)| *l == line).count();
                 let known = wanted.contains_key(&(line, slot.name.clone()));
@@ -237,7 +237,7 @@
                 Some((self.by_group.get(group)?.clone(), *number, share))
             };
             let kind = HeaderValue::from_str(&name).unwrap_or_else(|_| HeaderValue::from_static("other"));
-            Lead { kind, sides: route.dispatch.parts().into_iter().filter_map(side).collect() }
+            Lead { kind, sides: route.dispatch.weighted_services().into_iter().filter_map(side).collect() }
         };
         Ok(table.routes().iter().map(lead).collect())
     }
--- a/mesh/data-plane/tests/keys.rs
+++ b/mesh/data-plane/tests/keys.rs
@@ -10,7 +10,7 @@
 use sloeline_data_plane::keys::Keys;
 use sloeline_idempotency::{Outcome, Update};
 use sloeline_rpc::serve::serve;
-use sloeline_rpc::{Ask, Told};
+use sloeline_rpc::{RpcRequest, RpcResponse};
 use tokio::net::TcpListener;
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{sleep, timeout};
@@ -52,15 +52,15 @@
         address
     }
 
-    async fn answer(self: Rc<Self>, ask: Ask) -> Option<Told> {
+    async fn answer(self: Rc<Self>, ask: RpcRequest) -> Option<RpcResponse> {
         self.calls.set(self.calls.get() + 1);
         match (self.manner.get(), ask) {
-            (Manner::Grants, Ask::Operation(Update::Release { key, .. })) => {
+            (Manner::Grants, RpcRequest::Operation(Update::Release { key, .. })) => {
                 self.released.borrow_mut().push(key);
-                Some(Told::Operation(Outcome::Granted))
+                Some(RpcResponse::Operation(Outcome::Granted))
             }
-            (Manner::Grants, _) => Some(Told::Operation(Outcome::Granted)),
-            (Manner::Refuses, _) => Some(Told::Unable("out of contact".to_owned())),
+            (Manner::Grants, _) => Some(RpcResponse::Operation(Outcome::Granted)),
+            (Manner::Refuses, _) => Some(RpcResponse::Unavailable("out of contact".to_owned())),
             (Manner::Silent, _) => std::future::pending().await,
         }
     }
--- a/mesh/process-settings/src/file.rs
+++ b/mesh/process-settings/src/file.rs
@@ -75,8 +75,8 @@
     compare("port_range", before.port_range == after.port_range);
     compare("data_path", before.data_path == after.data_path);
     compare("guarantees", before.guarantees == after.guarantees);
-    compare("line", before.line == after.line);
-    compare("app_addr", before.app_addr == after.app_addr);
-    compare("docks", before.docks == after.docks);
+    compare("line", before.service == after.service);
+    compare("app_addr", before.upstream_addr == after.upstream_addr);
+    compare("docks", before.listen_addrs == after.listen_addrs);
     fields
 }
--- a/mesh/process-settings/src/lib.rs
+++ b/mesh/process-settings/src/lib.rs
@@ -50,23 +50,23 @@
     #[serde(default)]
     pub data_path: Option<PathBuf>,
     /// How often the upstream says that it is there.
-    #[serde(default = "beat")]
-    pub beat: Span,
+    #[serde(rename = "beat", default = "default_heartbeat_interval")]
+    pub heartbeat_interval: Span,
     /// Figures of the rules, `name=value`.
     #[serde(default)]
     pub guarantees: Vec<String>,
     /// The upstream of this machine.
-    #[serde(default)]
-    pub app_addr: Option<SocketAddr>,
+    #[serde(rename = "app_addr", default)]
+    pub upstream_addr: Option<SocketAddr>,
     /// Its service.
-    #[serde(default)]
-    pub line: Option<String>,
+    #[serde(rename = "line", default)]
+    pub service: Option<String>,
     /// The zones and their regions.
     #[serde(default)]
     pub zones: BTreeMap<String, String>,
     /// Where this process serves.
-    #[serde(default)]
-    pub docks: Docks,
+    #[serde(rename = "docks", default)]
+    pub listen_addrs: ListenAddrs,
     /// What the machine has.
     #[serde(default)]
     #[validate(nested)]
@@ -76,13 +76,13 @@
     pub tolerance: Tolerance,
 }
 
-fn beat() -> Span {
+fn default_heartbeat_interval() -> Span {
     Span::from_millis(1500)
 }
 
 /// Addresses at which a process serves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
-pub struct Docks {
+pub struct ListenAddrs {
     /// Requests for the upstream of this machine, from other balancers.
     pub incoming: Option<SocketAddr>,
     /// Requests of this machine's clients and of its upstream.
@@ -90,7 +90,8 @@
     /// Whether this machine may get clients.
     pub readiness: Option<SocketAddr>,
     /// Beats, and operators' calls.
-    pub control_dock: Option<SocketAddr>,
+    #[serde(rename = "control_dock")]
+    pub control: Option<SocketAddr>,
 }
 
 /// What a machine has.
--- a/mesh/route-config/src/model.rs
+++ b/mesh/route-config/src/model.rs
@@ -210,7 +210,7 @@
 
 impl Dispatch {
     /// The services and their weights.
-    pub fn parts(&self) -> Vec<(&str, u32)> {
+    pub fn weighted_services(&self) -> Vec<(&str, u32)> {
         match &self.line {
             Some(line) => vec![(line.as_str(), 1)],
             None => self.splits.iter().map(|s| (s.line.as_str(), s.share)).collect(),
@@ -234,7 +234,7 @@
             if dispatch.line.is_some() != dispatch.splits.is_empty() {
                 return wrong(format!("{place}: dispatch: expected either line or splits"));
             }
-            let parts = dispatch.parts();
+            let parts = dispatch.weighted_services();
             if let Some((name, _)) = parts.iter().find(|(name, _)| !names.contains(name)) {
                 return wrong(format!("{place}: line: found {name:?}, expected one of depots"));
             }
--- a/mesh/route-config/tests/configurations.rs
+++ b/mesh/route-config/tests/configurations.rs
@@ -34,7 +34,7 @@
     assert_eq!(parsed.edition, Edition(12));
     let table = Table::new(&parsed);
     let line = |host: &str, path: &str| {
-        table.find(host, path).map(|at| table.routes()[at].dispatch.parts()[0].0.to_owned())
+        table.find(host, path).map(|at| table.routes()[at].dispatch.weighted_services()[0].0.to_owned())
     };
     assert_eq!(line("a.example", "/x/1").as_deref(), Some("one"));
     assert_eq!(line("A.Example:80", "/x/y/1").as_deref(), Some("two"));
--- a/mesh/rpc/src/exchange.rs
+++ b/mesh/rpc/src/exchange.rs
@@ -15,7 +15,7 @@
 use crate::link::Link;
 use crate::metrics;
 use crate::offers::Offers;
-use crate::{Ask, Told};
+use crate::{RpcRequest, RpcResponse};
 
 /// Longest that a pull is held for want of news, whatever it asks.
 const MOST_HOLD: Duration = Duration::from_secs(10);
@@ -63,22 +63,22 @@
     }
 
     /// Tells of every change.
-    pub fn changes(&self) -> watch::Receiver<u64> {
+    pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
     /// What is known.
-    pub fn board(&self) -> std::cell::Ref<'_, Board> {
+    pub fn view(&self) -> std::cell::Ref<'_, Board> {
         self.board.borrow()
     }
 
     /// The own record.
-    pub fn own(&self) -> Record {
+    pub fn local_record(&self) -> Record {
         self.own.borrow().clone()
     }
 
     /// Changes the own record and tells those that are followed.
-    pub fn announce(&self, change: impl FnOnce(&mut Record)) {
+    pub fn update_local_record(&self, change: impl FnOnce(&mut Record)) {
         let record = {
             let mut own = self.own.borrow_mut();
             let before = own.clone();
@@ -175,8 +175,8 @@
             let best = self.offers.borrow_mut().best(held);
             let Some(link) = best else { break };
             let request = self.fetch.borrow().request();
-            match link.ask(&Ask::ConfigPiece(request), PIECE_WITHIN).await {
-                Ok(Told::ConfigPiece(answer)) => self.take_piece(answer, &link),
+            match link.call(&RpcRequest::ConfigPiece(request), PIECE_WITHIN).await {
+                Ok(RpcResponse::ConfigPiece(answer)) => self.take_piece(answer, &link),
                 _ => {
                     self.fetch.borrow_mut().lost();
                     self.offers.borrow_mut().defer(&link);
@@ -202,7 +202,7 @@
 
     /// The next piece of a configuration for somebody who lacks it. Whatever is held here was committed, and nobody takes a
     /// version below its own: a process out of contact may hand on what it has.
-    pub fn piece(&self, request: &PieceRequest) -> PieceAnswer {
+    pub fn config_piece(&self, request: &PieceRequest) -> PieceAnswer {
         self.source.borrow_mut().answer(request)
     }
 
@@ -212,12 +212,12 @@
     }
 
     /// Takes what somebody tells of itself.
-    pub fn told(&self, records: Vec<Record>) {
+    pub fn apply_records(&self, records: Vec<Record>) {
         self.take(records);
     }
 
     /// Answers a pull as soon as there is news for it.
-    pub async fn answer(&self, mut pull: Pull) -> News {
+    pub async fn answer_pull(&self, mut pull: Pull) -> News {
         self.take(std::mem::take(&mut pull.told));
         let until = Instant::now() + Duration::from_millis(pull.hold).min(MOST_HOLD);
         let mut changed = self.changed.subscribe();
@@ -235,19 +235,19 @@
     }
 
     /// Tells whether the same is known here.
-    pub fn compare(&self, digest: u64) -> Told {
+    pub fn compare_digest(&self, digest: u64) -> RpcResponse {
         match self.board.borrow().digest() == digest {
-            true => Told::Done,
-            false => Told::Unable("something else is known here".to_owned()),
+            true => RpcResponse::Done,
+            false => RpcResponse::Unavailable("something else is known here".to_owned()),
         }
     }
 
     /// Looks at one process again and again, and pulls from it only where it knows something else. For a second source:
     /// most of what it knows has come from the first.
-    pub fn look_at(self: &Rc<Self>, address: SocketAddr, every: Duration) -> Following {
+    pub fn poll(self: &Rc<Self>, address: SocketAddr, every: Duration) -> PeerSync {
         let reached = Rc::new(Cell::new(None));
         let task = spawn_local(self.clone().look(address, every, reached.clone())).abort_handle();
-        Following { task, reached, hold: None }
+        PeerSync { task, reached, hold: None }
     }
 
     async fn look(self: Rc<Self>, address: SocketAddr, every: Duration, reached: Rc<Cell<Option<Instant>>>) {
@@ -256,15 +256,19 @@
         let mut offered = None;
         loop {
             let digest = self.board.borrow().digest();
-            let same = !first && matches!(link.ask(&Ask::Compare { digest }, LATE).await, Ok(Told::Done));
+            let same = !first
+                && matches!(
+                    link.call(&RpcRequest::CompareDigest { digest }, LATE).await,
+                    Ok(RpcResponse::Done)
+                );
             if same {
                 reached.set(Some(Instant::now()));
             } else {
                 first = false;
-                let pull = self.pull_for(vec![self.own()], Duration::ZERO, offered);
-                let answer = link.ask(&Ask::Pull(pull), LATE).await;
+                let pull = self.pull_for(vec![self.local_record()], Duration::ZERO, offered);
+                let answer = link.call(&RpcRequest::Pull(pull), LATE).await;
                 count_pull(&answer);
-                if let Ok(Told::News(news)) = answer {
+                if let Ok(RpcResponse::Updates(news)) = answer {
                     reached.set((!news.out_of_contact).then(Instant::now));
                     offered = offered.max(news.offered);
                     self.take_news(news, &link);
@@ -276,10 +280,10 @@
     }
 
     /// Pulls from one process for good.
-    pub fn follow(self: &Rc<Self>, address: SocketAddr, hold: Duration) -> Following {
+    pub fn follow(self: &Rc<Self>, address: SocketAddr, hold: Duration) -> PeerSync {
         let reached = Rc::new(Cell::new(None));
         let task = spawn_local(self.clone().pull(address, hold, reached.clone())).abort_handle();
-        Following { task, reached, hold: Some(hold) }
+        PeerSync { task, reached, hold: Some(hold) }
     }
 
     async fn pull(self: Rc<Self>, address: SocketAddr, hold: Duration, reached: Rc<Cell<Option<Instant>>>) {
@@ -291,20 +295,20 @@
         let mut patience = Duration::ZERO;
         loop {
             announced.mark_unchanged();
-            let own = self.own();
+            let own = self.local_record();
             let told = if theirs == Some(own.version) { Vec::new() } else { vec![own.clone()] };
-            let ask = Ask::Pull(self.pull_for(told, patience, offered));
-            let mut asking = std::pin::pin!(link.ask(&ask, patience + LATE));
+            let ask = RpcRequest::Pull(self.pull_for(told, patience, offered));
+            let mut asking = std::pin::pin!(link.call(&ask, patience + LATE));
             let answer = loop {
                 tokio::select! {
                     answer = &mut asking => break answer,
                     // News of this process is not to wait for theirs.
-                    _ = announced.changed() => link.tell(&Ask::Tell(vec![self.own()])),
+                    _ = announced.changed() => link.notify(&RpcRequest::PushRecords(vec![self.local_record()])),
                 }
             };
             count_pull(&answer);
             match answer {
-                Ok(Told::News(news)) => {
+                Ok(RpcResponse::Updates(news)) => {
                     let out_of_contact = news.out_of_contact;
                     reached.set((!out_of_contact).then(Instant::now));
                     theirs = news.yours;
@@ -325,34 +329,34 @@
     }
 }
 
-fn count_pull(answer: &anyhow::Result<Told>) {
+fn count_pull(answer: &anyhow::Result<RpcResponse>) {
     match answer {
-        Ok(Told::News(news)) if news.out_of_contact => metrics::PULLS_OUT_OF_CONTACT.increment(),
-        Ok(Told::News(_)) => metrics::PULLS_ANSWERED.increment(),
+        Ok(RpcResponse::Updates(news)) if news.out_of_contact => metrics::PULLS_OUT_OF_CONTACT.increment(),
+        Ok(RpcResponse::Updates(_)) => metrics::PULLS_ANSWERED.increment(),
         _ => metrics::PULLS_FAILED.increment(),
     }
 }
 
 /// A process that is followed; dropped, it is not.
-pub struct Following {
+pub struct PeerSync {
     task: AbortHandle,
     reached: Rc<Cell<Option<Instant>>>,
     hold: Option<Duration>,
 }
 
-impl Following {
+impl PeerSync {
     /// How long its pulls are held; nothing where it is only looked at.
     pub fn hold(&self) -> Option<Duration> {
         self.hold
     }
 
     /// When it answered last.
-    pub fn reached(&self) -> Option<Instant> {
+    pub fn last_contact(&self) -> Option<Instant> {
         self.reached.get()
     }
 }
 
-impl Drop for Following {
+impl Drop for PeerSync {
     fn drop(&mut self) {
         self.task.abort();
     }
--- a/mesh/rpc/src/frame.rs
+++ b/mesh/rpc/src/frame.rs
@@ -12,20 +12,20 @@
 
 /// What a frame is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum FrameKind {
     /// Wants an answer.
-    Ask,
+    Request,
     /// Is the answer.
-    Answer,
+    Response,
     /// Wants none.
-    Tell,
+    Notification,
 }
 
 /// A frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
     /// What it is.
-    pub kind: Kind,
+    pub kind: FrameKind,
     /// The number of the call.
     pub number: u64,
     /// The message.
@@ -33,7 +33,7 @@
 }
 
 /// The bytes of a frame with a message.
-pub fn encode<T: Serialize>(kind: Kind, number: u64, message: &T) -> Result<Bytes> {
+pub fn encode<T: Serialize>(kind: FrameKind, number: u64, message: &T) -> Result<Bytes> {
     let body = rmp_serde::to_vec(message)?;
     if body.len() + HEAD > MOST_FRAME {
         bail!("frame: found {} bytes, expected at most {MOST_FRAME}", body.len());
@@ -42,9 +42,9 @@
     bytes.put_u32((HEAD + body.len()) as u32);
     bytes.put_u8(VERSION);
     bytes.put_u8(match kind {
-        Kind::Ask => 0,
-        Kind::Answer => 1,
-        Kind::Tell => 2,
+        FrameKind::Request => 0,
+        FrameKind::Response => 1,
+        FrameKind::Notification => 2,
     });
     bytes.put_u64(number);
     bytes.put_slice(&body);
@@ -78,9 +78,9 @@
     }
     come.advance(5);
     let kind = match come.get_u8() {
-        0 => Kind::Ask,
-        1 => Kind::Answer,
-        2 => Kind::Tell,
+        0 => FrameKind::Request,
+        1 => FrameKind::Response,
+        2 => FrameKind::Notification,
         other => bail!("frame: found kind {other}, expected 0 to 2"),
     };
     let number = come.get_u64();
--- a/mesh/rpc/src/lib.rs
+++ b/mesh/rpc/src/lib.rs
@@ -17,29 +17,33 @@
 
 /// What a process asks of another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum RpcRequest {
     /// News that the asker lacks.
     Pull(Pull),
-    /// Whether the asked process knows the same as the asker; [`Told::Done`] where it does.
-    Compare {
+    /// Whether the asked process knows the same as the asker; [`RpcResponse::Done`] where it does.
+    #[serde(rename = "Compare")]
+    CompareDigest {
         /// Of the asker's board.
         digest: u64,
     },
     /// The next piece of a newer configuration.
     ConfigPiece(PieceRequest),
     /// The asker's own news.
-    Tell(Vec<Record>),
+    #[serde(rename = "Tell")]
+    PushRecords(Vec<Record>),
     /// Something of a keyed operation; only the core answers.
     Operation(Update),
     /// What came of a run; only the machine that holds its claim answers.
-    Recall {
+    #[serde(rename = "Recall")]
+    QueryRun {
         /// The key.
         key: Bytes,
         /// The run.
         run: u64,
     },
     /// Keeps the answer to a run for its holder; has no answer.
-    Keep {
+    #[serde(rename = "Keep")]
+    StoreAnswer {
         /// The key.
         key: Bytes,
         /// The run.
@@ -60,9 +64,10 @@
 
 /// What it is answered.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Told {
+pub enum RpcResponse {
     /// The news.
-    News(News),
+    #[serde(rename = "News")]
+    Updates(News),
     /// The piece.
     ConfigPiece(PieceAnswer),
     /// Done.
@@ -70,11 +75,14 @@
     /// What came of the operation.
     Operation(Outcome),
     /// The run is at work.
-    Running,
+    #[serde(rename = "Running")]
+    RunInProgress,
     /// It ran, with this answer where it is kept.
-    Ran(Option<Answer>),
+    #[serde(rename = "Ran")]
+    RunFinished(Option<Answer>),
     /// JSON.
     Status(Bytes),
     /// It can't be done here and now; nothing has happened, or it may still happen.
-    Unable(String),
+    #[serde(rename = "Unable")]
+    Unavailable(String),
 }
--- a/mesh/rpc/src/link.rs
+++ b/mesh/rpc/src/link.rs
@@ -15,9 +15,9 @@
 use tokio::task::{JoinSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-use crate::frame::{self, Kind};
+use crate::frame::{self, FrameKind};
 use crate::metrics;
-use crate::{Ask, Told};
+use crate::{RpcRequest, RpcResponse};
 
 /// How long a connection may take to come up.
 const CONNECT: Duration = Duration::from_millis(4000);
@@ -114,8 +114,8 @@
     }
 
     /// Sends something that has no answer; it may be lost.
-    pub fn tell(&self, message: &Ask) {
-        if let Ok(bytes) = frame::encode(Kind::Tell, 0, message) {
+    pub fn notify(&self, message: &RpcRequest) {
+        if let Ok(bytes) = frame::encode(FrameKind::Notification, 0, message) {
             let _ = self.enqueue(Queued { call: None, bytes });
         }
     }
@@ -134,11 +134,11 @@
     /// Asks, and waits so long for the answer. The connection is closed where nothing at all has come on it meanwhile; a peer
     /// that answers others is slow, and the calls of others are not to fail with this one. An answer that comes late
     /// belongs to no call.
-    pub async fn ask(&self, message: &Ask, within: Duration) -> Result<Told> {
+    pub async fn call(&self, message: &RpcRequest, within: Duration) -> Result<RpcResponse> {
         let asked = Instant::now();
         let number = self.number.get() + 1;
         self.number.set(number);
-        let bytes = frame::encode(Kind::Ask, number, message)?;
+        let bytes = frame::encode(FrameKind::Request, number, message)?;
         let (sender, answer) = oneshot::channel();
         self.waiting.borrow_mut().insert(number, sender);
         let forget = Forget { waiting: &self.waiting, number };
@@ -269,7 +269,7 @@
         loop {
             while let Some(frame) = frame::next(&mut come)? {
                 let waits = waiting.borrow_mut().remove(&frame.number);
-                if let Some(waits) = waits.filter(|_| frame.kind == Kind::Answer) {
+                if let Some(waits) = waits.filter(|_| frame.kind == FrameKind::Response) {
                     let _ = waits.send(frame.body);
                 }
             }
--- a/mesh/rpc/src/serve.rs
+++ b/mesh/rpc/src/serve.rs
@@ -11,10 +11,10 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use crate::frame::{self, Kind};
+use crate::frame::{self, FrameKind};
 use crate::link::tune;
 use crate::metrics;
-use crate::{Ask, Told};
+use crate::{RpcRequest, RpcResponse};
 
 /// Answers that wait for a peer that does not read; beyond, its connection is closed.
 const MOST_ANSWERS: usize = 1024;
@@ -23,8 +23,8 @@
 /// Takes connections for good. `answer` gives nothing for what has no answer.
 pub async fn serve<A, F>(listener: TcpListener, answer: A)
 where
-    A: Fn(Ask) -> F + 'static,
-    F: Future<Output = Option<Told>> + 'static,
+    A: Fn(RpcRequest) -> F + 'static,
+    F: Future<Output = Option<RpcResponse>> + 'static,
 {
     let answer = Rc::new(answer);
     loop {
@@ -40,8 +40,8 @@
 
 async fn connection<A, F>(stream: TcpStream, answer: Rc<A>)
 where
-    A: Fn(Ask) -> F + 'static,
-    F: Future<Output = Option<Told>> + 'static,
+    A: Fn(RpcRequest) -> F + 'static,
+    F: Future<Output = Option<RpcResponse>> + 'static,
 {
     let (mut from, mut to) = stream.into_split();
     let (sender, mut answers) = mpsc::channel::<Bytes>(MOST_ANSWERS);
@@ -61,15 +61,16 @@
             loop {
                 match frame::next(&mut come) {
                     Ok(Some(frame)) => {
-                        let Ok(ask) = frame::decode::<Ask>(&frame.body) else { return };
+                        let Ok(ask) = frame::decode::<RpcRequest>(&frame.body) else { return };
                         let (answering, sender) = (answer(ask), sender.clone());
                         metrics::SERVED_CALLS.increment();
                         spawn_local(async move {
                             let _open = metrics::SERVED_CALLS_OPEN.hold();
-                            let Some(told) = answering.await.filter(|_| frame.kind == Kind::Ask) else {
+                            let Some(told) = answering.await.filter(|_| frame.kind == FrameKind::Request)
+                            else {
                                 return;
                             };
-                            if let Ok(bytes) = frame::encode(Kind::Answer, frame.number, &told)
+                            if let Ok(bytes) = frame::encode(FrameKind::Response, frame.number, &told)
                                 && sender.try_send(bytes).is_err()
                             {
                                 metrics::DROPPED_FRAMES.increment();
--- a/mesh/rpc/tests/frames.rs
+++ b/mesh/rpc/tests/frames.rs
@@ -2,15 +2,15 @@
 
 use bytes::BytesMut;
 use quickcheck::quickcheck;
-use sloeline_rpc::frame::{Kind, MOST_FRAME, VERSION, decode, encode, next};
-use sloeline_rpc::{Ask, Told};
+use sloeline_rpc::frame::{FrameKind, MOST_FRAME, VERSION, decode, encode, next};
+use sloeline_rpc::{RpcRequest, RpcResponse};
 
 quickcheck! {
     fn frames_come_out_as_they_went_in_however_they_are_cut(messages: Vec<(u64, String)>, cuts: Vec<u8>) -> bool {
-        let sent: Vec<(u64, Told)> =
-            messages.into_iter().map(|(number, why)| (number, Told::Unable(why))).collect();
+        let sent: Vec<(u64, RpcResponse)> =
+            messages.into_iter().map(|(number, why)| (number, RpcResponse::Unavailable(why))).collect();
         let bytes: Vec<u8> = sent.iter()
-            .flat_map(|(number, told)| encode(Kind::Answer, *number, told).expect("small").to_vec()).collect();
+            .flat_map(|(number, told)| encode(FrameKind::Response, *number, told).expect("small").to_vec()).collect();
         let (mut come, mut got, mut at) = (BytesMut::new(), Vec::new(), 0);
         let mut cuts = cuts.into_iter().map(|c| usize::from(c) + 1).chain(std::iter::repeat(17));
         while at < bytes.len() {
@@ -18,7 +18,7 @@
             come.extend_from_slice(&bytes[at..to]);
             at = to;
             while let Some(frame) = next(&mut come).expect("good frames") {
-                got.push((frame.number, decode::<Told>(&frame.body).expect("a message")));
+                got.push((frame.number, decode::<RpcResponse>(&frame.body).expect("a message")));
             }
         }
         come.is_empty() && got == sent
@@ -31,7 +31,7 @@
             let before = come.len();
             match next(&mut come) {
                 Ok(Some(frame)) => {
-                    let _ = decode::<Ask>(&frame.body);
+                    let _ = decode::<RpcRequest>(&frame.body);
                     assert!(come.len() < before);
                 }
                 Ok(None) | Err(_) => return true,
@@ -40,12 +40,12 @@
     }
 
     fn a_message_with_changed_bytes_is_another_or_an_error(at: usize, to: u8) -> bool {
-        let good = encode(Kind::Ask, 7, &Ask::Tell(Vec::new())).expect("small");
+        let good = encode(FrameKind::Request, 7, &RpcRequest::PushRecords(Vec::new())).expect("small");
         let mut bytes = good.to_vec();
         let at = at % bytes.len();
         bytes[at] = to;
         if let Ok(Some(frame)) = next(&mut BytesMut::from(&bytes[..])) {
-            let _ = decode::<Ask>(&frame.body);
+            let _ = decode::<RpcRequest>(&frame.body);
         }
         true
     }
@@ -65,5 +65,5 @@
         assert!(why.contains(told) && why.contains("expected"), "{why}");
     }
     // Ten claims of a huge list cost no memory: they are no message.
-    assert!(decode::<Ask>(&[0xdd, 0xff, 0xff, 0xff, 0xff]).is_err());
+    assert!(decode::<RpcRequest>(&[0xdd, 0xff, 0xff, 0xff, 0xff]).is_err());
 }
--- a/mesh/rpc/tests/late_connections.rs
+++ b/mesh/rpc/tests/late_connections.rs
@@ -7,7 +7,7 @@
 
 use sloeline_rpc::link::Link;
 use sloeline_rpc::serve::serve;
-use sloeline_rpc::{Ask, Told};
+use sloeline_rpc::{RpcRequest, RpcResponse};
 use socket2::{Domain, Socket, Type};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
@@ -46,16 +46,16 @@
     LocalSet::new().block_on(&runtime, async {
         let (listener, address, fillers) = full_listener().await;
         let link = Link::new(address);
-        let ask = Ask::Compare { digest: 1 };
-        assert!(link.ask(&ask, Duration::from_millis(300)).await.is_err(), "nobody accepts yet");
+        let ask = RpcRequest::CompareDigest { digest: 1 };
+        assert!(link.call(&ask, Duration::from_millis(300)).await.is_err(), "nobody accepts yet");
         fillers.iter().for_each(|filler| filler.abort());
         let served = calls.clone();
         spawn_local(serve(listener, move |_| {
             served.set(served.get() + 1);
-            async { Some(Told::Done) }
+            async { Some(RpcResponse::Done) }
         }));
-        let answer = link.ask(&ask, Duration::from_secs(5)).await;
-        assert!(matches!(answer, Ok(Told::Done)), "{answer:?}");
+        let answer = link.call(&ask, Duration::from_secs(5)).await;
+        assert!(matches!(answer, Ok(RpcResponse::Done)), "{answer:?}");
         assert!(link.up().is_some());
         assert_eq!(calls.get(), 1, "a call that has ended is not made later");
     });
--- a/mesh/rpc/tests/network/mod.rs
+++ b/mesh/rpc/tests/network/mod.rs
@@ -134,10 +134,10 @@
 
 /// Waits until a process has this configuration; tells whether it did within `within`.
 pub async fn has(exchange: &Exchange, wanted: &Config, within: Duration) -> bool {
-    let mut changes = exchange.changes();
+    let mut changes = exchange.subscribe();
     let came = async {
         loop {
-            if exchange.board().config().is_some_and(|config| *config == *wanted) {
+            if exchange.view().config().is_some_and(|config| *config == *wanted) {
                 return;
             }
             if changes.changed().await.is_err() {
--- a/mesh/rpc/tests/queues.rs
+++ b/mesh/rpc/tests/queues.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use sloeline_idempotency::Update;
 use sloeline_metrics::Metric;
-use sloeline_rpc::Ask;
+use sloeline_rpc::RpcRequest;
 use sloeline_rpc::link::Link;
 use sloeline_rpc::metrics::DROPPED_FRAMES;
 use tokio::net::TcpListener;
@@ -13,8 +13,8 @@
 use tokio::time::timeout;
 
 /// A message of a quarter of a megabyte.
-fn large() -> Ask {
-    Ask::Operation(Update::Release { key: Bytes::from(vec![7; 256 << 10]), run: 1 })
+fn large() -> RpcRequest {
+    RpcRequest::Operation(Update::Release { key: Bytes::from(vec![7; 256 << 10]), run: 1 })
 }
 
 #[test]
@@ -25,10 +25,10 @@
         let link = Link::new(listener.local_addr().expect("its address"));
         // 256 MB, if nothing bounded it.
         for _ in 0..1024 {
-            link.tell(&large());
+            link.notify(&large());
         }
         assert!(DROPPED_FRAMES.value() > 900, "{} of 1024 are dropped", DROPPED_FRAMES.value());
-        let answer = timeout(Duration::from_secs(1), link.ask(&large(), Duration::from_secs(1))).await;
+        let answer = timeout(Duration::from_secs(1), link.call(&large(), Duration::from_secs(1))).await;
         assert!(matches!(answer, Ok(Err(_))), "it is told at once");
     });
 }
--- a/mesh/rpc/tests/slow_links.rs
+++ b/mesh/rpc/tests/slow_links.rs
@@ -7,7 +7,7 @@
 
 use network::{Bandwidth, configuration, has, listen, play, process, relay};
 use sloeline_rpc::exchange::Exchange;
-use sloeline_rpc::{Ask, Told};
+use sloeline_rpc::{RpcRequest, RpcResponse};
 
 /// As long as a core machine holds a pull.
 const HOLD: Duration = Duration::from_millis(1000);
@@ -16,11 +16,11 @@
 /// Routes of a large configuration.
 const ROUTES: u32 = 1700;
 
-async fn answer(exchange: Rc<Exchange>, ask: Ask) -> Option<Told> {
+async fn answer(exchange: Rc<Exchange>, ask: RpcRequest) -> Option<RpcResponse> {
     match ask {
-        Ask::Pull(pull) => Some(Told::News(exchange.answer(pull).await)),
-        Ask::Compare { digest } => Some(exchange.compare(digest)),
-        Ask::ConfigPiece(request) => Some(Told::ConfigPiece(exchange.piece(&request))),
+        RpcRequest::Pull(pull) => Some(RpcResponse::Updates(exchange.answer_pull(pull).await)),
+        RpcRequest::CompareDigest { digest } => Some(exchange.compare_digest(digest)),
+        RpcRequest::ConfigPiece(request) => Some(RpcResponse::ConfigPiece(exchange.config_piece(&request))),
         _ => None,
     }
 }
@@ -53,7 +53,7 @@
             let address = relay(listen(&core).await, bandwidth.clone()).await;
             following.push(match cores.is_empty() {
                 true => balancer.follow(address, HOLD),
-                false => balancer.look_at(address, LOOK),
+                false => balancer.poll(address, LOOK),
             });
             cores.push(core);
         }
--- a/mesh/testbed/examples/slopes.rs
+++ b/mesh/testbed/examples/slopes.rs
@@ -14,8 +14,8 @@
 use sloeline_idempotency::Update;
 use sloeline_route_config::model::Config;
 use sloeline_route_config::table::Table;
-use sloeline_rpc::frame::{Kind, encode};
-use sloeline_rpc::{Ask, Told};
+use sloeline_rpc::frame::{FrameKind, encode};
+use sloeline_rpc::{RpcRequest, RpcResponse};
 
 fn micros(start: Instant, times: u32) -> f64 {
     start.elapsed().as_secs_f64() * 1e6 / f64::from(times)
@@ -57,11 +57,12 @@
             told: Vec::new(),
             hold: 2000,
         };
-        let asked = encode(Kind::Ask, 1, &Ask::Pull(pull.clone())).map_or(0, |b| b.len());
+        let asked = encode(FrameKind::Request, 1, &RpcRequest::Pull(pull.clone())).map_or(0, |b| b.len());
         let all: Vec<Record> = board.records().values().map(|r| (**r).clone()).collect();
-        let one = encode(Kind::Answer, 1, &Told::Done).map_or(0, |b| b.len());
-        let single = encode(Kind::Tell, 0, &Ask::Tell(vec![record(1)])).map_or(0, |b| b.len());
-        let whole = encode(Kind::Tell, 0, &Ask::Tell(all)).map_or(0, |b| b.len());
+        let one = encode(FrameKind::Response, 1, &RpcResponse::Done).map_or(0, |b| b.len());
+        let single = encode(FrameKind::Notification, 0, &RpcRequest::PushRecords(vec![record(1)]))
+            .map_or(0, |b| b.len());
+        let whole = encode(FrameKind::Notification, 0, &RpcRequest::PushRecords(all)).map_or(0, |b| b.len());
         let mut news = record(5);
         news.version.change += 1;
         board.take(vec![news]);
@@ -84,7 +85,7 @@
     let mut nodes: Vec<Node<State>> = peers
         .iter()
         .map(|me| {
-            let settings = sloeline_control_plane::core::settings(*me, peers.clone(), 1);
+            let settings = sloeline_control_plane::core::chain_settings(*me, peers.clone(), 1);
             let durable = DurableState::founder(VoterSet::founders(&peers));
             Node::new(settings, durable, Rows::default(), State::new(60_000), 0)
         })
@@ -101,9 +102,9 @@
                     match output {
                         Output::Send { to, message } => {
                             let from = peers[at];
-                            let ask = Ask::Chain { from, message: Box::new(message.clone()) };
+                            let ask = RpcRequest::Chain { from, message: Box::new(message.clone()) };
                             if !matches!(message, Message::Heartbeat(_)) {
-                                *bytes += encode(Kind::Tell, 0, &ask).map_or(0, |b| b.len());
+                                *bytes += encode(FrameKind::Notification, 0, &ask).map_or(0, |b| b.len());
                                 *messages += 1;
                             }
                             if let Some(to) = peers.iter().position(|p| *p == to) {
--- a/mesh/testbed/src/machine.rs
+++ b/mesh/testbed/src/machine.rs
@@ -7,7 +7,7 @@
 use std::thread::{self, JoinHandle};
 
 use anyhow::{Context, Result};
-use sloeline_admin_http::reload::fixed;
+use sloeline_admin_http::reload::fixed_settings;
 use sloeline_process_settings::Settings;
 use tokio::sync::oneshot;
 use tokio::task::LocalSet;
@@ -191,7 +191,7 @@
 
     fn start_core(&self, core: u8, settings: Settings) -> Result<Machine> {
         Machine::start(&format!("core-{core}"), move || {
-            sloeline_control_plane::program::work(fixed(settings))
+            sloeline_control_plane::program::run_with_settings(fixed_settings(settings))
         })
     }
 
@@ -220,7 +220,7 @@
     fn start_balancer(&self, balancer: u8, settings: &str) -> Result<Machine> {
         let settings = Settings::parse(settings)?;
         Machine::start(&format!("balancer-{balancer}"), move || {
-            sloeline_data_plane::program::work(fixed(settings))
+            sloeline_data_plane::program::work(fixed_settings(settings))
         })
     }
 
--- a/mesh/testbed/tests/between_balancers.rs
+++ b/mesh/testbed/tests/between_balancers.rs
@@ -11,7 +11,7 @@
 
 use mesh::{Mesh, play, status, until};
 use sloeline_discovery::{Condition, Record, Upstream, Version};
-use sloeline_rpc::Ask;
+use sloeline_rpc::RpcRequest;
 use sloeline_rpc::link::Link;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -140,7 +140,9 @@
         }),
     };
     let link = Link::new(mesh.plan.core_mesh(0));
-    link.ask(&Ask::Tell(vec![record]), Duration::from_secs(1)).await.expect("the core takes it");
+    link.call(&RpcRequest::PushRecords(vec![record]), Duration::from_secs(1))
+        .await
+        .expect("the core takes it");
     far
 }
 
--- a/mesh/testbed/tests/core.rs
+++ b/mesh/testbed/tests/core.rs
@@ -9,7 +9,7 @@
 use sloeline_config_transfer::PieceRequest;
 use sloeline_discovery::{News, Pull};
 use sloeline_rpc::link::Link;
-use sloeline_rpc::{Ask, Told};
+use sloeline_rpc::{RpcRequest, RpcResponse};
 use sloeline_testbed::client::{Answer, ask};
 
 /// Whoever can't serve an order says so within half a second.
@@ -17,8 +17,8 @@
 
 async fn core_status(mesh: &Mesh, core: u8) -> serde_json::Value {
     let link = Link::new(mesh.plan.core_mesh(core));
-    match link.ask(&Ask::Status, Duration::from_secs(1)).await {
-        Ok(Told::Status(status)) => serde_json::from_slice(&status).expect("JSON"),
+    match link.call(&RpcRequest::Status, Duration::from_secs(1)).await {
+        Ok(RpcResponse::Status(status)) => serde_json::from_slice(&status).expect("JSON"),
         _ => serde_json::Value::Null,
     }
 }
@@ -105,14 +105,18 @@
             hold: 5_000,
         };
         let link = Link::new(mesh.plan.core_mesh(0));
-        let told = link.ask(&Ask::Pull(pull), Duration::from_secs(1)).await.expect("an answer at once");
-        let Told::News(News { offered: None, core: None, out_of_contact: true, records, .. }) = told else {
+        let told =
+            link.call(&RpcRequest::Pull(pull), Duration::from_secs(1)).await.expect("an answer at once");
+        let RpcResponse::Updates(News { offered: None, core: None, out_of_contact: true, records, .. }) =
+            told
+        else {
             panic!("{told:?}");
         };
         assert!(!records.is_empty(), "who exists is told all the same");
-        let request = PieceRequest { base: None, begun: None, most: 1024 };
-        let told = link.ask(&Ask::ConfigPiece(request), Duration::from_secs(1)).await.expect("an answer");
-        assert!(matches!(told, Told::Unable(_)), "{told:?}");
+        let request = PieceRequest { base: None, in_progress: None, max_bytes: 1024 };
+        let told =
+            link.call(&RpcRequest::ConfigPiece(request), Duration::from_secs(1)).await.expect("an answer");
+        assert!(matches!(told, RpcResponse::Unavailable(_)), "{told:?}");
         // Balancers keep serving with what they have.
         let served = mesh.request("/safe/a", "t-1", None).await.expect("an answer");
         assert_eq!(served.status, 200, "{served:?}");
@@ -200,7 +204,8 @@
         std::fs::write(&settings, mesh.plan.core_settings(2, false).expect("settings")).expect("a file");
         // The stopped process lets go of its file a moment later.
         let restore =
-            until(async || sloeline_control_plane::commands::restore_alone(&settings), Result::is_ok).await;
+            until(async || sloeline_control_plane::commands::restore_from_disk(&settings), Result::is_ok)
+                .await;
         assert!(restore.is_ok(), "{restore:?}");
         for core in [2, 0, 1] {
             mesh.cores[usize::from(core)] = Some(mesh.plan.core(core, false).expect("a core machine"));
@@ -215,7 +220,7 @@
         let order = config(9, "2s");
         let put = until(|| mesh.put(0, &order), |a| status(a) == 200).await;
         assert_eq!(status(&put), 200, "{put:?}");
-        let text = sloeline_control_plane::commands::text(&core_status(&mesh, 0).await);
+        let text = sloeline_control_plane::commands::format_status(&core_status(&mesh, 0).await);
         assert!(text.contains("voters         set") && text.contains("configuration  00000009"), "{text}");
     });
 }
