--- a/baselines/src/lib.rs
+++ b/baselines/src/lib.rs
@@ -45,7 +45,7 @@
             // It takes those that have just started for warm ones: nothing is paced.
             Some(Defect::Cold) => {
                 let mut settings = settings;
-                (settings.rules.cold_from, settings.rules.warm_after) = (1.0, 1);
+                (settings.rules.initial_capacity_share, settings.rules.warm_up_time) = (1.0, 1);
                 Ok(Box::new(Ours::new(settings, seed)?))
             }
             Some(_) => Err("other defects are planted in baselines alone".to_owned()),
--- a/baselines/src/plain.rs
+++ b/baselines/src/plain.rs
@@ -115,8 +115,8 @@
         let wanted = Wanted { key: open.key, left };
         let (ran, last) = (open.ran, open.last);
         let group = |k: &Known| match (effect, ran) {
-            (Effect::Keyed { group: fs::Group::Zone, .. }, Some((_, zone, _))) => k.zone == zone,
-            (Effect::Keyed { group: fs::Group::Cell, .. }, Some((_, _, cell))) => k.cell == cell,
+            (Effect::Keyed { group: fs::DedupGroup::Zone, .. }, Some((_, zone, _))) => k.zone == zone,
+            (Effect::Keyed { group: fs::DedupGroup::Cell, .. }, Some((_, _, cell))) => k.cell == cell,
             _ => true,
         };
         let fits = |k: &Known| k.ready && now >= k.ejected && group(k);
@@ -126,7 +126,7 @@
         let mut found = None;
         if self.defect == Some(Defect::Cold) {
             let young = |k: &Known| {
-                self.starts.get(&k.node).is_some_and(|s| now < s + self.settings.rules.warm_after)
+                self.starts.get(&k.node).is_some_and(|s| now < s + self.settings.rules.warm_up_time)
             };
             found = (0..self.nodes.len()).find(|at| fits(&self.nodes[*at]) && young(&self.nodes[*at]));
         }
--- a/config/src/described.rs
+++ b/config/src/described.rs
@@ -194,16 +194,16 @@
         _ => return Err(format!("the class {name:?}, which is not {word}")),
     }
     // An aim is what callers want: an operation that takes less is not wanted sooner.
-    if let Some(time) = operation.time.filter(|time| *time > class.aim) {
+    if let Some(time) = operation.time.filter(|time| *time > class.latency_target) {
         if time > class.deadline {
             let (time, deadline) = (time / 1000, class.deadline / 1000);
             return Err(format!("{time} ms in the class {name:?}, whose callers wait {deadline} ms"));
         }
-        class.aim = time;
+        class.latency_target = time;
         named += &format!(":aim={time}us");
     }
-    if let Some(worth) = operation.worth.filter(|worth| *worth != class.worth) {
-        class.worth = worth;
+    if let Some(worth) = operation.worth.filter(|worth| *worth != class.value) {
+        class.value = worth;
         named += &format!(":worth={worth}");
     }
     Ok((named, class))
--- a/config/src/sections.rs
+++ b/config/src/sections.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use finchshift::{Class, Effect, Group, Micros, Tenant};
+use finchshift::{Class, DedupGroup, Effect, Micros, Tenant};
 use toml::Spanned;
 use toml::de::DeTable;
 
@@ -300,9 +300,9 @@
             let (known, expected) =
                 (group.is_some(), "\"all\", \"zone\" or \"cell\": which upstreams drop a repeat");
             let group = group.and_then(|g| match g.value.as_str() {
-                "all" => Some(Group::All),
-                "zone" => Some(Group::Zone),
-                "cell" => Some(Group::Cell),
+                "all" => Some(DedupGroup::All),
+                "zone" => Some(DedupGroup::Zone),
+                "cell" => Some(DedupGroup::Cell),
                 other => {
                     section.wrong(&g.span, "group", format!("{other:?}"), expected);
                     None
@@ -347,11 +347,11 @@
     section.end();
     let class = Class {
         effect: effect?,
-        aim: aim.filter(|a| *a > 0)?,
-        aim_stretch: 0.0,
+        latency_target: aim.filter(|a| *a > 0)?,
+        target_per_work: 0.0,
         deadline: deadline.filter(|d| *d > 0)?,
-        worth,
-        late_worth: late.map_or(0.0, |l| l.value),
+        value: worth,
+        late_value_ratio: late.map_or(0.0, |l| l.value),
         stream: false,
     };
     Some(NamedClass { class, assert, span })
--- a/emulator/src/host.rs
+++ b/emulator/src/host.rs
@@ -7,7 +7,7 @@
 use finchshift::{ListKind, Micros, Outcome, RequestId, ServerState};
 use sloeline_engine::core::{Arrival, Core, Output};
 use sloeline_engine::types::{Answer, Listed};
-use sloeline_settings::setup::Names;
+use sloeline_settings::setup::NameTable;
 
 /// The final answer as its caller sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -103,8 +103,8 @@
 impl Ours {
     /// One with these settings.
     pub fn new(settings: fs::Settings, seed: u64) -> Result<Ours, String> {
-        let mut zones = Names::default();
-        (0..settings.zones).for_each(|zone| _ = zones.number(&format!("z{zone}")));
+        let mut zones = NameTable::default();
+        (0..settings.zones).for_each(|zone| _ = zones.id_of(&format!("z{zone}")));
         // It begins with its first list, at that time: begun at 0 it would count as one that has long been running.
         Ok(Ours { core: Core::new(settings, &zones, seed)? })
     }
--- a/emulator/src/world.rs
+++ b/emulator/src/world.rs
@@ -395,15 +395,15 @@
                 Effect::Unsafe => fs::Effect::Unsafe,
                 Effect::Keyed => fs::Effect::Keyed { group: c.group.of(), window: c.window.0 },
             },
-            aim: c.aim.0,
-            aim_stretch: 0.0,
+            latency_target: c.aim.0,
+            target_per_work: 0.0,
             deadline: c.deadline.0,
-            worth: c.worth,
-            late_worth: 0.0,
+            value: c.worth,
+            late_value_ratio: 0.0,
             stream: false,
         });
         let mut settings = fs::Settings::new(classes.collect());
-        settings.me = me;
+        settings.balancer_index = me;
         settings.balancers = self.balancers.count;
         settings.zone = me % self.zones;
         settings.zones = self.zones;
@@ -412,10 +412,10 @@
         settings.limits.max_retry_after = 60_000_000;
         settings.limits.max_attempts = self.balancers.attempts;
         settings.limits.idle_close = self.network.idle.0;
-        settings.rules.cold_from = self.nodes.cold;
-        settings.rules.warm_after = self.nodes.warm.0.max(1);
+        settings.rules.initial_capacity_share = self.nodes.cold;
+        settings.rules.warm_up_time = self.nodes.warm.0.max(1);
         settings.rules.overload_factor = self.rules.cold_factor;
-        settings.rules.tip_after = self.rules.cold_span.0;
+        settings.rules.overload_time = self.rules.cold_span.0;
         settings.rules.drain_grace = self.rules.drain_grace.0;
         settings.rules.answer_grace = self.rules.answer_grace.0;
         settings
@@ -423,11 +423,11 @@
 }
 
 impl Group {
-    fn of(self) -> fs::Group {
+    fn of(self) -> fs::DedupGroup {
         match self {
-            Group::All => fs::Group::All,
-            Group::Zone => fs::Group::Zone,
-            Group::Cell => fs::Group::Cell,
+            Group::All => fs::DedupGroup::All,
+            Group::Zone => fs::DedupGroup::Zone,
+            Group::Cell => fs::DedupGroup::Cell,
         }
     }
 }
--- a/engine/src/core.rs
+++ b/engine/src/core.rs
@@ -11,7 +11,7 @@
 use finchshift as fs;
 use finchshift::{Action, Event, ListKind, Micros, Outcome, RequestId, ServerId};
 use sloeline_events::{heard, note, tell};
-use sloeline_settings::setup::Names;
+use sloeline_settings::setup::NameTable;
 
 use crate::registry::Registry;
 use crate::types::{Answer, Failure, Listed, Target};
@@ -259,8 +259,8 @@
 
 impl<R> Core<R> {
     /// A balancer with the given settings; `zones` holds the numbers that the settings use.
-    pub fn new(settings: fs::Settings, zones: &Names, seed: u64) -> Result<Core<R>, String> {
-        let (limits, warm_after) = (settings.limits.clone(), settings.rules.warm_after);
+    pub fn new(settings: fs::Settings, zones: &NameTable, seed: u64) -> Result<Core<R>, String> {
+        let (limits, warm_after) = (settings.limits.clone(), settings.rules.warm_up_time);
         let balancer = fs::Balancer::new(settings, seed).map_err(|e| e.to_string())?;
         Ok(Core {
             balancer,
@@ -378,7 +378,7 @@
         settings: fs::Settings,
         learned: &[Option<fs::ClassId>],
     ) -> Result<(), String> {
-        let (limits, warm_after) = (settings.limits.clone(), settings.rules.warm_after);
+        let (limits, warm_after) = (settings.limits.clone(), settings.rules.warm_up_time);
         self.balancer.reconfigure(settings, learned).map_err(|e| e.to_string())?;
         (self.limits, self.warm_after) = (limits, warm_after);
         Ok(())
@@ -442,7 +442,7 @@
         given_up.sort_unstable();
         for id in given_up {
             self.answer(id, Answer::Failed);
-            self.feed(now, Event::Gone { request: id });
+            self.feed(now, Event::ClientGone { request: id });
         }
     }
 
@@ -458,7 +458,7 @@
         let ends = open.coming || left && self.ends_for_gone;
         let cut: Vec<u32> = open.out.iter().filter(|_| ends).map(|out| out.attempt).collect();
         if left {
-            self.feed(now, Event::Gone { request: id });
+            self.feed(now, Event::ClientGone { request: id });
         }
         for attempt in cut {
             self.call_off(id, attempt, Outcome::Cancelled);
@@ -557,7 +557,7 @@
             tell!(DEFECT, what = %"unanswered"; "defect: the module left request {id} unanswered; failed just before its time");
         }
         self.outputs.push_back(Output::Answer { request: id, answer: Answer::Failed(Failure::Time) });
-        self.feed(now, Event::Gone { request: id });
+        self.feed(now, Event::ClientGone { request: id });
         self.settle(id);
     }
 
@@ -628,21 +628,22 @@
         let named = |(id, share, passed): (ServerId, f64, u64)| {
             Some((self.registry.name(id)?.to_owned(), share, passed))
         };
-        self.balancer.cold(now).into_iter().filter_map(named).collect()
+        self.balancer.cold_servers(now).into_iter().filter_map(named).collect()
     }
 
     /// Tells of those that a list newly names as cold; before the module hears of them, which may send at once.
     fn tell_cold(&mut self, now: Micros, entries: &[fs::ServerEntry]) {
         let mut names = Vec::new();
         for e in entries.iter().filter(|e| e.state == fs::ServerState::Ready) {
-            let Some(age) = e.started.map(|at| now.saturating_sub(at)).filter(|age| *age < self.warm_after)
+            let Some(age) =
+                e.started_at.map(|at| now.saturating_sub(at)).filter(|age| *age < self.warm_after)
             else {
                 continue;
             };
             let name = self.registry.name(e.id).unwrap_or_default();
             note!(COLD_LISTED, upstream = %name, age = %age / 1000; "cold: listed {name}, {} ms old", age / 1000);
-            let began = Cold { started: e.started, passed: 0 };
-            if self.cold.insert(e.id, began).is_none_or(|before| before.started != e.started) {
+            let began = Cold { started: e.started_at, passed: 0 };
+            if self.cold.insert(e.id, began).is_none_or(|before| before.started != e.started_at) {
                 names.push(name);
             }
         }
@@ -659,7 +660,7 @@
         let (registry, mut new, mut over, mut passed) = (&self.registry, Vec::new(), Vec::new(), 0);
         let name = |id| registry.name(id).unwrap_or("one that is gone");
         let mut still = HashMap::new();
-        for (id, _, passed) in self.balancer.cold(now) {
+        for (id, _, passed) in self.balancer.cold_servers(now) {
             let before = self.cold.remove(&id);
             if before.is_none() {
                 new.push(name(id));
@@ -698,17 +699,17 @@
     // What was learned.
 
     /// What the module has learned, for another process: its figures, and those of each zone by name.
-    pub fn learned(&self) -> (fs::Learned, Vec<(String, Vec<f64>)>) {
+    pub fn learned(&self) -> (fs::LearnedState, Vec<(String, Vec<f64>)>) {
         let mut learned = self.balancer.learned();
         let zones = std::mem::take(&mut learned.zones);
         (learned, self.named(zones))
     }
 
     /// Goes on with what another process has learned; after its list.
-    pub fn resume(&mut self, now: Micros, mut learned: fs::Learned, zones: Vec<(String, Vec<f64>)>) {
+    pub fn resume(&mut self, now: Micros, mut learned: fs::LearnedState, zones: Vec<(String, Vec<f64>)>) {
         let numbered = |(name, figures): (String, _)| Some((self.registry.zone_number(&name)?, figures));
         learned.zones = zones.into_iter().filter_map(numbered).collect();
-        self.balancer.resume(now, &learned);
+        self.balancer.restore(now, &learned);
     }
 
     /// Attempts that are out, by zone.
@@ -720,7 +721,7 @@
     pub fn beside(&mut self, now: Micros, others: &[(String, f64)]) {
         let numbered = |(name, n): &(String, f64)| Some((self.registry.zone_number(name)?, *n));
         let others: Vec<_> = others.iter().filter_map(numbered).collect();
-        self.balancer.beside(&others);
+        self.balancer.set_peer_in_flight(&others);
         // Places may be free: requests that are held are looked at.
         self.feed(now, Event::Timer { token: 0 });
     }
@@ -860,7 +861,7 @@
             let class = self.open.get(&id).map_or(0, |open| open.class);
             // What the module went by, read after its own bookkeeping of this attempt.
             let (share, pace, warm, window, all_cold) =
-                self.balancer.cold_terms(now, server).unwrap_or((1.0, 0.0, 0, 0.0, false));
+                self.balancer.cold_admission_factors(now, server).unwrap_or((1.0, 0.0, 0, 0.0, false));
             let pace = pace / 1000.0;
             note!(COLD_SENT, upstream = %name, age = %age, request = %id, attempt = %attempt, cause = %cause,
                 class = %class, share = %share, pace = %pace, warm = %warm, window = %window, all_cold = %all_cold;
@@ -891,7 +892,7 @@
         // The time of a body that still comes has not begun.
         let left = if open.coming { open.time_left.saturating_sub(LAST_RESORT) } else { left };
         let limit = if limit == 0 || self.keeps { left } else { limit.min(left) };
-        let copies = open.out.is_empty() || self.limits.second_copies;
+        let copies = open.out.is_empty() || self.limits.concurrent_attempts;
         let may = open.waits && copies && attempt < self.limits.max_attempts && limit > 0;
         let Some(to) = to.filter(|_| may) else {
             open.failure = Failure::Upstream;
--- a/engine/src/engine.rs
+++ b/engine/src/engine.rs
@@ -9,7 +9,7 @@
 use finchshift as fs;
 use finchshift::{ListKind, Micros, Outcome, RequestId, ServerId};
 use sloeline_events::tell;
-use sloeline_settings::setup::Names;
+use sloeline_settings::setup::NameTable;
 use tokio::sync::{Notify, oneshot};
 
 use crate::clock::Clock;
@@ -160,7 +160,7 @@
 
 impl<W: Wire> Engine<W> {
     /// A balancer with the given settings; `zones` holds the numbers that the settings use.
-    pub fn new(settings: fs::Settings, zones: &Names, seed: u64, wire: W) -> Result<Rc<Self>, String> {
+    pub fn new(settings: fs::Settings, zones: &NameTable, seed: u64, wire: W) -> Result<Rc<Self>, String> {
         Ok(Rc::new(Engine {
             wire,
             clock: Clock::new(),
@@ -431,12 +431,12 @@
     }
 
     /// See [`Core::learned`].
-    pub fn learned(&self) -> (fs::Learned, Vec<(String, Vec<f64>)>) {
+    pub fn learned(&self) -> (fs::LearnedState, Vec<(String, Vec<f64>)>) {
         self.core.borrow().learned()
     }
 
     /// See [`Core::resume`].
-    pub fn resume(self: &Rc<Self>, learned: fs::Learned, zones: Vec<(String, Vec<f64>)>) {
+    pub fn resume(self: &Rc<Self>, learned: fs::LearnedState, zones: Vec<(String, Vec<f64>)>) {
         self.with(|core, now| core.resume(now, learned, zones));
     }
 
--- a/engine/src/slots.rs
+++ b/engine/src/slots.rs
@@ -67,8 +67,15 @@
     use finchshift::Effect;
 
     fn slot(name: &str, effect: Effect, deadline: u64) -> Slot {
-        let class =
-            Class { effect, aim: 1, aim_stretch: 0.0, deadline, worth: 1.0, late_worth: 0.0, stream: false };
+        let class = Class {
+            effect,
+            latency_target: 1,
+            target_per_work: 0.0,
+            deadline,
+            value: 1.0,
+            late_value_ratio: 0.0,
+            stream: false,
+        };
         Slot { name: name.to_owned(), class }
     }
 
--- a/membership/src/consul.rs
+++ b/membership/src/consul.rs
@@ -15,7 +15,7 @@
 
 use finchshift::Micros;
 use serde::Deserialize;
-use sloeline_settings::setup::micros;
+use sloeline_settings::setup::ms_to_micros;
 
 use crate::backoff::Backoff;
 use crate::entry::MOST_IDENTITY;
@@ -219,7 +219,7 @@
             kind: self.meta("kind").unwrap_or_default().to_owned(),
             cell: self.meta("cell").and_then(|c| c.parse().ok()).unwrap_or(0),
             weight: if weight.is_finite() && weight > 0.0 { weight } else { 1.0 },
-            started: started.filter(|s| s.is_finite() && *s > 0.0).map(micros),
+            started: started.filter(|s| s.is_finite() && *s > 0.0).map(ms_to_micros),
             identity,
         };
         let written = self.checks.iter().map(|c| c.modify_index).max().unwrap_or(0);
--- a/membership/src/entry.rs
+++ b/membership/src/entry.rs
@@ -8,7 +8,7 @@
 
 use finchshift::Micros;
 use serde::{Deserialize, Serialize};
-use sloeline_settings::setup::{micros, millis, one};
+use sloeline_settings::setup::{default_one, micros_to_ms, ms_to_micros};
 
 use crate::view::{Member, Node, Standing};
 
@@ -27,7 +27,7 @@
     kind: String,
     #[serde(default)]
     cell: u32,
-    #[serde(default = "one")]
+    #[serde(default = "default_one")]
     weight: f64,
     #[serde(default)]
     state: State,
@@ -60,8 +60,8 @@
     if !(text.weight.is_finite() && text.weight > 0.0) {
         return Err(format!("found weight {}, expected more than 0", text.weight));
     }
-    let started: Option<Micros> =
-        (text.started_at_ms.is_finite() && text.started_at_ms > 0.0).then(|| micros(text.started_at_ms));
+    let started: Option<Micros> = (text.started_at_ms.is_finite() && text.started_at_ms > 0.0)
+        .then(|| ms_to_micros(text.started_at_ms));
     let standing = match text.state {
         State::Serving => Standing::Serving,
         State::Draining => Standing::Draining,
@@ -93,7 +93,7 @@
         cell: node.cell,
         weight: node.weight,
         state,
-        started_at_ms: node.started.map_or(0.0, millis),
+        started_at_ms: node.started.map_or(0.0, micros_to_ms),
     };
     serde_json::to_vec(&text).unwrap_or_default()
 }
--- a/membership/src/platform.rs
+++ b/membership/src/platform.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 use sloeline_engine::types::Listed;
 use sloeline_events::tell;
-use sloeline_settings::setup::{micros, millis, one};
+use sloeline_settings::setup::{default_one, micros_to_ms, ms_to_micros};
 use tokio::net::TcpStream;
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{sleep, timeout};
@@ -59,7 +59,7 @@
     #[serde(default)]
     cell: u32,
     lifecycle: Lifecycle,
-    #[serde(default = "one")]
+    #[serde(default = "default_one")]
     weight: f64,
     #[serde(default)]
     started_at_ms: f64,
@@ -88,7 +88,7 @@
                 ServerState::Gone => Lifecycle::Deleted,
             },
             weight: l.weight,
-            started_at_ms: l.started.map_or(0.0, millis),
+            started_at_ms: l.started.map_or(0.0, micros_to_ms),
         };
         List { generation, reset: true, instances: listed.into_iter().map(instance).collect() }
     }
@@ -114,7 +114,7 @@
                 },
                 weight: i.weight,
                 started: (i.started_at_ms > 0.0 && i.started_at_ms.is_finite())
-                    .then(|| micros(i.started_at_ms)),
+                    .then(|| ms_to_micros(i.started_at_ms)),
             })
         };
         self.instances.into_iter().filter_map(entry).collect()
--- a/mesh/data-plane/src/receive.rs
+++ b/mesh/data-plane/src/receive.rs
@@ -26,7 +26,7 @@
 use sloeline_idempotency::{Answer, Entry, Ledger, Outcome};
 use sloeline_rpc::Told;
 use sloeline_rpc::exchange::Exchange;
-use sloeline_settings::setup::ring;
+use sloeline_settings::setup::ring_hash;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Notify, oneshot};
 use tokio::task::spawn_local;
@@ -118,7 +118,7 @@
 
 /// What requests are told apart by in the gate: route and class, as the sender has them.
 fn kind(headers: &HeaderMap) -> u64 {
-    headers.get(header_names::KIND).map_or(0, |v| ring(v.to_str().unwrap_or_default()))
+    headers.get(header_names::KIND).map_or(0, |v| ring_hash(v.to_str().unwrap_or_default()))
 }
 
 /// A request as it goes on.
--- a/mesh/data-plane/src/services.rs
+++ b/mesh/data-plane/src/services.rs
@@ -21,7 +21,7 @@
 use sloeline_limits::Share;
 use sloeline_route_config::model::{Route, RouteKind};
 use sloeline_route_config::table::Table;
-use sloeline_settings::setup::Names;
+use sloeline_settings::setup::NameTable;
 use tokio::task::{AbortHandle, spawn_local};
 
 use crate::header_names;
@@ -132,7 +132,15 @@
         _ => 1.0,
     };
     let (aim, deadline) = (route.target.0.max(1_000), route.dispatch.timeout.0);
-    let class = fs::Class { effect, aim, aim_stretch: 0.0, deadline, worth, late_worth: 0.15, stream: false };
+    let class = fs::Class {
+        effect,
+        latency_target: aim,
+        target_per_work: 0.0,
+        deadline,
+        value: worth,
+        late_value_ratio: 0.15,
+        stream: false,
+    };
     let kind = route.route_kind;
     Slot { name: format!("{kind:?}/{}/{aim}/{deadline}", route.precedence), class }
 }
@@ -213,7 +221,7 @@
                 numbers.insert(((*line).to_owned(), slot.name.clone()), (group.clone(), *number));
             }
             let classes = assigned.slots.iter().map(|s| s.class.clone()).collect();
-            let mut zones = Names::default();
+            let mut zones = NameTable::default();
             let settings = settings(ground, &mut zones, classes, tries);
             match service {
                 Some(service) => {
@@ -289,14 +297,14 @@
     }
 }
 
-fn settings(ground: &Ground, zones: &mut Names, classes: Vec<fs::Class>, tries: u32) -> fs::Settings {
+fn settings(ground: &Ground, zones: &mut NameTable, classes: Vec<fs::Class>, tries: u32) -> fs::Settings {
     let base = fs::Settings::new(classes);
     fs::Settings {
         // What the others send is known where it arrives: the gate there admits, and a window that divides an upstream
         // among balancers beforehand would only hold back what it has room for.
-        me: 0,
+        balancer_index: 0,
         balancers: 1,
-        zone: zones.number(&ground.zone),
+        zone: zones.id_of(&ground.zone),
         zones: ground.zones.max(1),
         limits: fs::Limits {
             cancel: true,
@@ -308,8 +316,8 @@
             idle_close: IDLE,
             ..base.limits
         },
-        rules: fs::Rules { cold_from: COLD_FROM, warm_after: WARM_AFTER, ..base.rules },
-        goal: fs::Goal { whole: 0.5, worst_window: 0.3, worst_class: 0.2, ..base.goal },
+        rules: fs::Rules { initial_capacity_share: COLD_FROM, warm_up_time: WARM_AFTER, ..base.rules },
+        goal: fs::Goal { overall: 0.5, worst_window: 0.3, worst_class: 0.2, ..base.goal },
         ..base
     }
 }
@@ -317,7 +325,7 @@
 fn start(
     name: &str,
     settings: fs::Settings,
-    zones: &Names,
+    zones: &NameTable,
     ground: &Ground,
     slots: Vec<Slot>,
 ) -> Result<Service> {
--- a/sloeline/src/daemon.rs
+++ b/sloeline/src/daemon.rs
@@ -28,7 +28,7 @@
 use sloeline_membership::announce::Wanted;
 use sloeline_membership::announce::line::Announcement;
 use sloeline_routing::table::Table;
-use sloeline_settings::setup::Names;
+use sloeline_settings::setup::NameTable;
 use sloeline_work::budget::Budget;
 use sloeline_work::schedule::{Job, Priority, Schedule};
 use sloeline_work::shell::Worker;
@@ -115,7 +115,7 @@
 pub struct Prepared {
     config: Config,
     division: Division,
-    zones: Names,
+    zones: NameTable,
     plans: Vec<(String, Plan)>,
     numbers: Numbers,
     operations: Operations,
@@ -143,7 +143,7 @@
     /// Listeners that are removed, until their addresses are free.
     closing: RefCell<Vec<oneshot::Receiver<()>>>,
     reserves: Reserves,
-    zones: Names,
+    zones: NameTable,
     operations: Operations,
     /// Since when the configuration is in force, its descriptions with it.
     since: Instant,
@@ -236,7 +236,7 @@
                 bodies: reserve(),
                 lists: Rc::default(),
             },
-            zones: Names::default(),
+            zones: NameTable::default(),
             operations: Operations::default(),
             since: Instant::now(),
             rng: RefCell::new(fastrand::Rng::with_seed(seed)),
@@ -283,7 +283,7 @@
             let _ = free.await;
         }
         let division = division(&config)?;
-        let mut zones = Names::default();
+        let mut zones = NameTable::default();
         let mut turn = self.work.turn(Job::new("reload", 0, Priority::Soon)).await;
         let turn = turn.as_mut().map_err(|why| format!("no turn to make it ready in: {why:?}"))?;
         let classes = config.classes_by_pool();
--- a/sloeline/src/daemon/pools.rs
+++ b/sloeline/src/daemon/pools.rs
@@ -23,7 +23,7 @@
 use sloeline_membership::file::{self, Watched};
 use sloeline_membership::follow::Following;
 use sloeline_membership::platform::Discovery;
-use sloeline_settings::setup::Names;
+use sloeline_settings::setup::NameTable;
 use tokio::sync::{Notify, oneshot};
 use tokio::task::{AbortHandle, spawn_local};
 
@@ -120,12 +120,12 @@
     })
 }
 
-fn settings(config: &Config, pool: &Wanted, classes: Vec<fs::Class>, zones: &mut Names) -> fs::Settings {
+fn settings(config: &Config, pool: &Wanted, classes: Vec<fs::Class>, zones: &mut NameTable) -> fs::Settings {
     let base = fs::Settings::new(classes);
     fs::Settings {
-        me: config.instance.number,
+        balancer_index: config.instance.number,
         balancers: config.instance.count,
-        zone: zones.number(&config.instance.zone),
+        zone: zones.id_of(&config.instance.zone),
         zones: pool.zones,
         tenants: config.tenants.values().copied().collect(),
         limits: fs::Limits {
@@ -137,10 +137,10 @@
             ..base.limits
         },
         rules: fs::Rules {
-            cold_from: pool.cold_from,
-            warm_after: pool.warm_after,
+            initial_capacity_share: pool.cold_from,
+            warm_up_time: pool.warm_after,
             overload_factor: pool.overload_factor,
-            tip_after: pool.tip_after,
+            overload_time: pool.tip_after,
             drain_grace: pool.drain_grace,
             ..base.rules
         },
@@ -155,7 +155,7 @@
         config: &Config,
         classes: Option<&BTreeSet<&str>>,
         folder: &Path,
-        zones: &mut Names,
+        zones: &mut NameTable,
         before: Option<&Running>,
         Seat { count, number }: Seat,
     ) -> Result<Plan, String> {
@@ -168,11 +168,11 @@
             // No route leads here yet; the module wants a class all the same.
             let class = fs::Class {
                 effect: fs::Effect::Unsafe,
-                aim: 1_000_000,
-                aim_stretch: 0.0,
+                latency_target: 1_000_000,
+                target_per_work: 0.0,
                 deadline: 1_000_000,
-                worth: 0.0,
-                late_worth: 0.0,
+                value: 0.0,
+                late_value_ratio: 0.0,
                 stream: false,
             };
             wanted.push(Slot { name: String::new(), class });
@@ -183,7 +183,7 @@
         };
         let settings =
             settings(config, pool, assigned.slots.iter().map(|s| s.class.clone()).collect(), zones);
-        let settings = fs::Settings { balancers: count, me: number, ..settings };
+        let settings = fs::Settings { balancers: count, balancer_index: number, ..settings };
         settings.check().map_err(|e| named(e.to_string()))?;
         let same_source = before.is_some_and(|running| running.config.nodes == pool.nodes);
         let file = match &pool.nodes {
@@ -228,7 +228,7 @@
         plan: Plan,
         reserves: &Reserves,
         parts: Parts,
-        zones: &Names,
+        zones: &NameTable,
         (known, now): (&Seen, Option<Micros>),
         seed: u64,
     ) -> Result<Running, String> {
@@ -300,7 +300,8 @@
 
     /// As many instances share its upstreams from now on, and this is its number among them.
     pub fn reseat(&self, Seat { count, number }: Seat) {
-        let settings = fs::Settings { balancers: count, me: number, ..self.settings.borrow().clone() };
+        let settings =
+            fs::Settings { balancers: count, balancer_index: number, ..self.settings.borrow().clone() };
         let learned: Vec<Option<fs::ClassId>> = (0..settings.classes.len()).map(Some).collect();
         match self.pool.engine.reconfigure(settings.clone(), &learned) {
             Ok(()) => *self.settings.borrow_mut() = settings,
@@ -424,7 +425,7 @@
             "taking_requests": engine.upstreams(),
             "open_requests": engine.open(),
             "shared_by": self.settings.borrow().balancers,
-            "number": self.settings.borrow().me,
+            "number": self.settings.borrow().balancer_index,
             "classes": classes.join(" "),
         })
     }
--- a/sloeline/src/describe.rs
+++ b/sloeline/src/describe.rs
@@ -117,7 +117,7 @@
         put("x-sloeline-tenant", json!(tenant));
     }
     if let [only] = classes.as_slice() {
-        put("x-sloeline-worth", json!(only.class.worth));
+        put("x-sloeline-worth", json!(only.class.value));
     }
     let deadline = classes.iter().map(|c| c.class.deadline).max().unwrap_or(0);
     let deadline = route.deadline.map_or(deadline, |d| d.min(deadline));
--- a/sloeline/src/explain.rs
+++ b/sloeline/src/explain.rs
@@ -105,9 +105,9 @@
             text,
             "  class {name}: {:?}, aim {} ms, deadline {} ms, worth {}",
             class.effect,
-            ms(class.aim),
+            ms(class.latency_target),
             ms(deadline),
-            class.worth
+            class.value
         );
     }
     let _ = writeln!(text, "  body up to {} bytes", route.body_limit);
--- a/sloeline/src/platform/service.rs
+++ b/sloeline/src/platform/service.rs
@@ -13,7 +13,7 @@
 use sloeline_http::upstream::{Dialect, Upstreams};
 use sloeline_limits::Share;
 use sloeline_membership::platform::Discovery;
-use sloeline_settings::setup::{Names, Setup, settings};
+use sloeline_settings::setup::{NameTable, Setup, balancer_settings};
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
@@ -67,13 +67,13 @@
 }
 
 fn wanted(setup: &Setup, settings: &fs::Settings) -> Vec<Slot> {
-    let classes = setup.categories.iter().zip(&settings.classes);
+    let classes = setup.classes.iter().zip(&settings.classes);
     classes.map(|(c, class)| Slot { name: c.name.clone(), class: class.clone() }).collect()
 }
 
 fn named(setup: &Setup, wanted: &[Slot], numbers: &[fs::ClassId]) -> Named {
     let classes = wanted.iter().zip(numbers).map(|(w, n)| (w.name.clone(), (*n, w.class.clone())));
-    let tenants = setup.realms.iter().enumerate().map(|(i, r)| (r.name.clone(), i));
+    let tenants = setup.tenants.iter().enumerate().map(|(i, r)| (r.name.clone(), i));
     Named { classes: classes.collect(), tenants: tenants.collect() }
 }
 
@@ -96,8 +96,8 @@
     /// One that has no list yet, of so many processes. The error is one plain line.
     pub fn new(told: Told, processes: usize, phase: watch::Receiver<Phase>) -> Result<Rc<Service>, String> {
         let Told { setup, file, discovery: at, generation, seed, sockets, memory } = told;
-        let mut zones = Names::default();
-        let settings = settings(&setup, &mut zones)?;
+        let mut zones = NameTable::default();
+        let settings = balancer_settings(&setup, &mut zones)?;
         let slots = wanted(&setup, &settings);
         let (callers, upstreams) = descriptors(sockets, processes);
         let connections = Share::alone(upstreams);
@@ -152,7 +152,7 @@
         let (learned, zones) = self.engine.learned();
         let slots = self.slots.borrow();
         let classes = slots.iter().map(|s| s.name.clone()).zip(learned.classes).collect();
-        Learned { classes, all: learned.all, zones }
+        Learned { classes, all: learned.overall, zones }
     }
 
     /// Goes on with what another process has learned; after its list.
@@ -161,7 +161,7 @@
         // A class that the other did not have begins anew.
         let classes = slots.iter().map(|s| learned.classes.remove(&s.name).unwrap_or_default());
         let classes = classes.collect();
-        let figures = fs::Learned { classes, all: learned.all, zones: Vec::new() };
+        let figures = fs::LearnedState { classes, overall: learned.all, zones: Vec::new() };
         self.engine.resume(figures, learned.zones);
     }
 
@@ -188,7 +188,7 @@
                 "settings.Zone: found {found:?}, expected {expected:?}: it changes with a restart"
             ));
         }
-        let mut settings = settings(&config.setup, &mut Names::default())?;
+        let mut settings = balancer_settings(&config.setup, &mut NameTable::default())?;
         // What is wanted, before the classes that are only kept are among it.
         settings.check().map_err(|e| format!("settings: {e}"))?;
         let wanted = wanted(&config.setup, &settings);
--- a/src/api.rs
+++ b/src/api.rs
@@ -29,7 +29,7 @@
     /// that may have run.
     Keyed {
         /// Which servers drop each other's repeats.
-        group: Group,
+        group: DedupGroup,
         /// For how long they remember a request.
         window: Micros,
     },
@@ -39,7 +39,7 @@
 
 /// The servers that drop each other's repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupGroup {
     /// All servers of the tier.
     All,
     /// Servers of the same zone.
@@ -54,15 +54,15 @@
     /// What may be repeated.
     pub effect: Effect,
     /// An answer within this span earns the full worth.
-    pub aim: Micros,
+    pub latency_target: Micros,
     /// The aim grows by this multiple of the request's own work, where a hint tells it.
-    pub aim_stretch: f64,
+    pub target_per_work: f64,
     /// How long a client waits in all.
     pub deadline: Micros,
-    /// Worth of one request (or of a unit of its work, see [`Settings::worth_by_work`]).
-    pub worth: f64,
+    /// Worth of one request (or of a unit of its work, see [`Settings::value_per_work`]).
+    pub value: f64,
     /// Share of the worth that an answer after the aim still earns.
-    pub late_worth: f64,
+    pub late_value_ratio: f64,
     /// The answer is a stream: [`Event::FirstByte`] tells of its start.
     pub stream: bool,
 }
@@ -73,24 +73,24 @@
     /// Its share of the service.
     pub share: f64,
     /// Requests a second within that share, over all balancers; what exceeds it is worth
-    /// [`Settings::over_share_worth`] of the usual.
+    /// [`Settings::over_quota_value_ratio`] of the usual.
     pub quota: f64,
 }
 
 /// What a balancer has learned, as figures whose meaning is the module's: for another of the same build.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Learned {
+pub struct LearnedState {
     /// Of each class.
     pub classes: Vec<Vec<f64>>,
     /// Of all classes together.
-    pub all: Vec<f64>,
+    pub overall: Vec<f64>,
     /// Of each zone.
     pub zones: Vec<(ZoneId, Vec<f64>)>,
 }
 
 /// What [`ServerEntry::weight`] says.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Weights {
+pub enum WeightMeaning {
     /// Nothing: it is always 1.
     #[default]
     None,
@@ -104,11 +104,11 @@
 
 /// How the list of servers arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Discovery {
+pub enum DiscoveryMode {
     /// Changes arrive unasked.
     Push,
     /// Nothing arrives until [`Action::Watch`] or [`Action::Fetch`] asks.
-    Ask,
+    Pull,
 }
 
 /// How servers report their load.
@@ -130,7 +130,7 @@
     /// [`Action::Probe`] may be used.
     pub probes: bool,
     /// Two attempts of a request may be out at once.
-    pub second_copies: bool,
+    pub concurrent_attempts: bool,
     /// Clients are handed the wait of [`Action::Refuse`].
     pub retry_after: bool,
     /// The longest wait that a client follows.
@@ -155,15 +155,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
     /// A server that starts has at least this share of its capacity.
-    pub cold_from: f64,
+    pub initial_capacity_share: f64,
     /// It is warm after this span at the latest.
-    pub warm_after: Micros,
+    pub warm_up_time: Micros,
     /// Sent more than this multiple of its present capacity ...
     pub overload_factor: f64,
     /// ... for this span, a cold server falls over.
-    pub tip_after: Micros,
+    pub overload_time: Micros,
     /// Where discovery must be asked, it must be asked at least this often unless watched.
-    pub ask_within: Micros,
+    pub discovery_interval: Micros,
     /// Nothing new may go to a server later than this after the news that it drains or is gone.
     pub drain_grace: Micros,
     /// A final answer still counts this long after the client's time.
@@ -178,7 +178,7 @@
     /// For each probe, per request.
     pub probe: f64,
     /// For worth that ends unserved after its aim.
-    pub late_fail: f64,
+    pub late_failure: f64,
     /// For work of servers that served no answer, per work offered.
     pub waste: f64,
     /// For connections open, per hundred servers' worth of them.
@@ -193,7 +193,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Goal {
     /// Share of the result that all requests together decide.
-    pub whole: f64,
+    pub overall: f64,
     /// Share that the worst stretch of time decides.
     pub worst_window: f64,
     /// Share that the worst-served class decides.
@@ -201,16 +201,16 @@
     /// Share that the worst-served tenant decides, within its share of the service.
     pub worst_tenant: f64,
     /// Share for which worth counts in full only while few requests miss their aim.
-    pub tail: f64,
+    pub tail_latency: f64,
     /// The share of requests that may miss it; an early refusal is no miss.
-    pub tail_miss: f64,
+    pub tail_miss_share: f64,
 }
 
 /// Everything a balancer is told at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// This balancer's number among those of its tier, from 0.
-    pub me: u32,
+    pub balancer_index: u32,
     /// How many balancers send to this tier.
     pub balancers: u32,
     /// The zone that this balancer is in.
@@ -222,21 +222,21 @@
     /// How many tiers there are.
     pub tiers: u32,
     /// A call from a tier above carries its caller's time left, not its class's whole deadline.
-    pub passes_deadline: bool,
+    pub propagates_deadline: bool,
     /// The request classes.
     pub classes: Vec<Class>,
     /// Worth counts per unit of work, not per request.
-    pub worth_by_work: bool,
+    pub value_per_work: bool,
     /// Those who share the service; none where it has one owner.
     pub tenants: Vec<Tenant>,
     /// Worth of a request beyond its tenant's share, as a part of its class's worth.
-    pub over_share_worth: f64,
+    pub over_quota_value_ratio: f64,
     /// Clients mark their repeats, see [`Event::Request`].
-    pub marks_retry: bool,
+    pub clients_mark_retries: bool,
     /// What the weights of servers say.
-    pub weights: Weights,
+    pub weights: WeightMeaning,
     /// How the list of servers arrives.
-    pub discovery: Discovery,
+    pub discovery: DiscoveryMode,
     /// How servers report load.
     pub report: ReportMode,
     /// What is allowed.
@@ -268,25 +268,25 @@
     /// allowed; change what differs.
     pub fn new(classes: Vec<Class>) -> Settings {
         Settings {
-            me: 0,
+            balancer_index: 0,
             balancers: 1,
             zone: 0,
             zones: 1,
             tier: 0,
             tiers: 1,
-            passes_deadline: true,
+            propagates_deadline: true,
             classes,
-            worth_by_work: false,
+            value_per_work: false,
             tenants: Vec::new(),
-            over_share_worth: 1.0,
-            marks_retry: false,
-            weights: Weights::None,
-            discovery: Discovery::Push,
+            over_quota_value_ratio: 1.0,
+            clients_mark_retries: false,
+            weights: WeightMeaning::None,
+            discovery: DiscoveryMode::Push,
             report: ReportMode::None,
             limits: Limits {
                 cancel: false,
                 probes: false,
-                second_copies: false,
+                concurrent_attempts: false,
                 retry_after: false,
                 max_retry_after: 0,
                 max_attempts: 4,
@@ -298,16 +298,16 @@
                 cpu_per_request: 0.0,
             },
             rules: Rules {
-                cold_from: 0.1,
-                warm_after: 30_000_000,
+                initial_capacity_share: 0.1,
+                warm_up_time: 30_000_000,
                 overload_factor: 2.0,
-                tip_after: 1_000_000,
-                ask_within: 10_000_000,
+                overload_time: 1_000_000,
+                discovery_interval: 10_000_000,
                 drain_grace: 1_000_000,
                 answer_grace: 20_000,
             },
             prices: Prices::default(),
-            goal: Goal { whole: 1.0, ..Goal::default() },
+            goal: Goal { overall: 1.0, ..Goal::default() },
             tick: 1_000,
         }
     }
@@ -322,25 +322,29 @@
         test(self.limits.max_attempts > 0, "no attempts allowed")?;
         test(self.tick > 0, "the tick is zero")?;
         for c in &self.classes {
-            test(c.aim > 0 && c.deadline > 0, "a class without aim or deadline")?;
+            test(c.latency_target > 0 && c.deadline > 0, "a class without aim or deadline")?;
             test(
-                finite(c.worth) && finite(c.late_worth) && finite(c.aim_stretch),
+                finite(c.value) && finite(c.late_value_ratio) && finite(c.target_per_work),
                 "a class's worth or stretch",
             )?;
         }
         for t in &self.tenants {
             test(finite(t.share) && finite(t.quota), "a tenant's share or quota")?;
         }
-        test(finite(self.over_share_worth), "the worth beyond a tenant's share")?;
+        test(finite(self.over_quota_value_ratio), "the worth beyond a tenant's share")?;
         test(finite(self.limits.cpu_per_request), "the processing time for a request")?;
         let r = &self.rules;
-        test(r.cold_from > 0.0 && r.cold_from <= 1.0, "the cold share is not within 0 to 1")?;
+        test(
+            r.initial_capacity_share > 0.0 && r.initial_capacity_share <= 1.0,
+            "the cold share is not within 0 to 1",
+        )?;
         test(finite(r.overload_factor), "the overload factor")?;
         let p = &self.prices;
-        let prices = [p.cross_zone, p.probe, p.late_fail, p.waste, p.connection, p.handshake, p.discovery];
+        let prices = [p.cross_zone, p.probe, p.late_failure, p.waste, p.connection, p.handshake, p.discovery];
         test(prices.into_iter().all(finite), "a price")?;
         let g = &self.goal;
-        let weights = [g.whole, g.worst_window, g.worst_class, g.worst_tenant, g.tail, g.tail_miss];
+        let weights =
+            [g.overall, g.worst_window, g.worst_class, g.worst_tenant, g.tail_latency, g.tail_miss_share];
         test(weights.into_iter().all(finite), "a weight of the goal")
     }
 }
@@ -369,19 +373,19 @@
     /// Its cell: a small group that drops each other's repeats.
     pub cell: u32,
     /// A hash of its address, the same at every balancer: it spreads the balancers over the servers.
-    pub ring: u64,
+    pub ring_hash: u64,
     /// What discovery says of it.
     pub state: ServerState,
     /// Its size beside the others'; 1 where nothing is known.
     pub weight: f64,
     /// When its process last started; `None` for long ago.
-    pub started: Option<Micros>,
+    pub started_at: Option<Micros>,
 }
 
 impl ServerEntry {
     /// A ready server of zone, kind and cell 0 that started long ago.
     pub fn new(id: ServerId) -> ServerEntry {
-        ServerEntry { id, ring: u64::from(id), weight: 1.0, ..ServerEntry::default() }
+        ServerEntry { id, ring_hash: u64::from(id), weight: 1.0, ..ServerEntry::default() }
     }
 }
 
@@ -493,7 +497,7 @@
         load: Option<Load>,
     },
     /// The client left; nothing more is owed.
-    Gone {
+    ClientGone {
         /// The request.
         request: RequestId,
     },
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -236,8 +236,8 @@
 impl Server {
     fn share(&self, now: Micros, rules: &Rules) -> f64 {
         let Some(started) = self.since else { return 1.0 };
-        let age = now.saturating_sub(started) as f64 / rules.warm_after.max(1) as f64;
-        (rules.cold_from + (1.0 - rules.cold_from) * age).min(1.0)
+        let age = now.saturating_sub(started) as f64 / rules.warm_up_time.max(1) as f64;
+        (rules.initial_capacity_share + (1.0 - rules.initial_capacity_share) * age).min(1.0)
     }
 
     /// Whether the breakers let a call of the class through, and if it is a trial.
@@ -420,7 +420,8 @@
             half_life: longest as f64,
             stale: [[0.0; 64]; 2],
             express: None,
-            look: (settings.classes.iter().map(|c| c.aim).min().unwrap_or(1) / SWEEPS).max(settings.tick),
+            look: (settings.classes.iter().map(|c| c.latency_target).min().unwrap_or(1) / SWEEPS)
+                .max(settings.tick),
             sweeping: false,
             started: false,
             housekept: 0,
@@ -450,7 +451,7 @@
             server.breakers.extend((0..settings.classes.len()).map(copied));
         }
         self.half_life = settings.classes.iter().map(|c| c.deadline).max().unwrap_or(1) as f64;
-        let aim = settings.classes.iter().map(|c| c.aim).min().unwrap_or(1);
+        let aim = settings.classes.iter().map(|c| c.latency_target).min().unwrap_or(1);
         self.look = (aim / SWEEPS).max(settings.tick);
         self.settings = settings;
         self.count_pools(self.housekept);
@@ -458,25 +459,25 @@
     }
 
     /// What was learned of classes and zones, for a balancer of the same build that takes over.
-    pub fn learned(&self) -> Learned {
+    pub fn learned(&self) -> LearnedState {
         let class =
             |c: &ClassState| [&[c.base, c.work, c.offered, c.served], &c.latency.figures()[..]].concat();
         let classes = self.classes.iter().map(class).collect();
         let zones =
             self.pools.iter().map(|(&zone, p)| (zone, vec![p.window, p.lingering, p.taken])).collect();
-        Learned { classes, all: self.all.figures(), zones }
+        LearnedState { classes, overall: self.all.figures(), zones }
     }
 
     /// Goes on with what another has learned; after its list, before any request. What is missing stays.
-    pub fn resume(&mut self, now: Micros, learned: &Learned) {
+    pub fn restore(&mut self, now: Micros, learned: &LearnedState) {
         let good = |figures: &[f64]| figures.iter().all(|f| f.is_finite() && *f >= 0.0);
         for (class, figures) in self.classes.iter_mut().zip(&learned.classes).filter(|(_, f)| good(f)) {
             let [base, work, offered, served, latency @ ..] = &figures[..] else { continue };
             (class.base, class.work, class.offered, class.served) = (*base, *work, *offered, *served);
             class.latency.resume(now, latency);
         }
-        if good(&learned.all) {
-            self.all.resume(now, &learned.all);
+        if good(&learned.overall) {
+            self.all.resume(now, &learned.overall);
         }
         for (zone, figures) in learned.zones.iter().filter(|(_, f)| good(f)) {
             if let ([window, lingering, sent], Some(pool)) = (&figures[..], self.pools.get_mut(zone)) {
@@ -492,7 +493,7 @@
     }
 
     /// What another process of this balancer has out, from now on; nothing for a zone not named.
-    pub fn beside(&mut self, others: &[(ZoneId, f64)]) {
+    pub fn set_peer_in_flight(&mut self, others: &[(ZoneId, f64)]) {
         for (zone, pool) in &mut self.pools {
             let told = others.iter().find(|(z, n)| z == zone && n.is_finite());
             pool.beside = told.map_or(0.0, |(_, n)| n.max(0.0));
@@ -505,9 +506,9 @@
             self.started = true;
             self.housekept = now;
             self.housekeep(now, actions);
-            if self.settings.discovery == Discovery::Ask {
+            if self.settings.discovery == DiscoveryMode::Pull {
                 let spread = ASK_SPREAD.min(ASK_EACH * self.settings.balancers as f64);
-                self.ask_within(self.settings.rules.ask_within as f64 * spread, actions);
+                self.ask_within(self.settings.rules.discovery_interval as f64 * spread, actions);
             }
         }
         match event {
@@ -522,7 +523,7 @@
             Event::FirstByte { request, .. } => {
                 let _ = self.forget(request).map(|r| self.classes[r.class].served += 1.0);
             }
-            Event::Gone { request } => self.gone(request),
+            Event::ClientGone { request } => self.gone(request),
             Event::Timer { token: SWEEP } => self.sweep(now, actions),
             Event::Timer { token: HOUSEKEEP } => self.housekeep(now, actions),
             Event::Timer { token: ASK } => actions.push(Action::Watch),
@@ -565,12 +566,13 @@
             actions.push(Action::Fail { request: id });
             return;
         };
-        let stretch = (c.aim_stretch * work.unwrap_or(0) as f64) as Micros;
-        let mut aim = (c.aim + stretch).min(c.deadline);
-        if !self.settings.passes_deadline {
+        let stretch = (c.target_per_work * work.unwrap_or(0) as f64) as Micros;
+        let mut aim = (c.latency_target + stretch).min(c.deadline);
+        if !self.settings.propagates_deadline {
             aim = aim.min(self.split(c.deadline));
         }
-        let useful = if c.late_worth > 0.0 { left } else { left.min(aim.saturating_sub(self.settings.tick)) };
+        let useful =
+            if c.late_value_ratio > 0.0 { left } else { left.min(aim.saturating_sub(self.settings.tick)) };
         let state = &mut self.classes[class];
         state.offered += 1.0;
         state.held.push_back(id);
@@ -609,7 +611,7 @@
     fn give_up(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.forget(id) else { return };
         let class = &self.settings.classes[request.class];
-        let repeatable = matches!(class.effect, Effect::Safe | Effect::Keyed { group: Group::All, .. });
+        let repeatable = matches!(class.effect, Effect::Safe | Effect::Keyed { group: DedupGroup::All, .. });
         let may_refuse = request.ran.is_none() || repeatable;
         let gains = now as f64 + self.classes[request.class].latency.p50 < request.useful as f64;
         actions.push(if may_refuse && gains {
@@ -627,7 +629,7 @@
     /// Too little time is left for an attempt to finish.
     fn hopeless(&self, now: Micros, request: &Request) -> bool {
         let left = request.useful.saturating_sub(now) as f64;
-        let aim = self.split(self.settings.classes[request.class].aim) as f64;
+        let aim = self.split(self.settings.classes[request.class].latency_target) as f64;
         let p50 = self.percentiles(request.class).map_or(0.0, |p| p.p50);
         // Prevents a final answer that comes too late, where looks are further apart than the grace for it.
         let last_look = now + self.look >= request.deadline;
@@ -637,7 +639,7 @@
     /// Classes by what their requests are worth for their work, most first, and by the goal.
     fn class_order(&mut self) -> Vec<ClassId> {
         let ratio = |c: &ClassState| if c.offered > 0.0 { c.served / c.offered } else { 1.0 };
-        let worth = |i: usize| self.settings.classes[i].worth;
+        let worth = |i: usize| self.settings.classes[i].value;
         let total: f64 = self.classes.iter().enumerate().map(|(i, c)| worth(i) * c.offered).sum();
         let worst = self.classes.iter().map(ratio).fold(1.0, f64::min);
         let goal = &self.settings.goal;
@@ -645,9 +647,9 @@
             let c = &self.classes[i];
             let own = worth(i) * c.offered;
             let bonus = if ratio(c) <= worst && own > 0.0 { goal.worst_class * total / own } else { 0.0 };
-            let alike = self.settings.worth_by_work || c.latency.total < MIN_SAMPLES;
+            let alike = self.settings.value_per_work || c.latency.total < MIN_SAMPLES;
             let work = if alike { 1.0 } else { c.latency.p50 };
-            worth(i) * (goal.whole + goal.worst_window + bonus) / work
+            worth(i) * (goal.overall + goal.worst_window + bonus) / work
         };
         let mut order: Vec<ClassId> = (0..self.classes.len()).collect();
         order.sort_by(|&a, &b| value(b).total_cmp(&value(a)));
@@ -722,8 +724,8 @@
 
     fn in_group(effect: Effect, request: &Request, entry: &ServerEntry) -> bool {
         match (effect, request.ran) {
-            (Effect::Keyed { group: Group::Zone, .. }, Some((_, zone, _))) => entry.zone == zone,
-            (Effect::Keyed { group: Group::Cell, .. }, Some((_, _, cell))) => entry.cell == cell,
+            (Effect::Keyed { group: DedupGroup::Zone, .. }, Some((_, zone, _))) => entry.zone == zone,
+            (Effect::Keyed { group: DedupGroup::Cell, .. }, Some((_, _, cell))) => entry.cell == cell,
             _ => true,
         }
     }
@@ -954,7 +956,7 @@
         let slower = self.notice_shift(class, scale, ended);
         let base = self.classes[class].base;
         // Only what comes on top of the lowest P50 is waiting: a call with tiers behind is long without any.
-        let aim = self.split(self.settings.classes[class].aim) as f64;
+        let aim = self.split(self.settings.classes[class].latency_target) as f64;
         let crowded = if base > 0.0 { CROWDED * base * scale } else { f64::INFINITY };
         let crowded = if slower { f64::INFINITY } else { crowded.max(CROWDED_FROM * aim) };
         let unqueued = (base * scale).min(aim);
@@ -1067,7 +1069,7 @@
 
     fn list(&mut self, now: Micros, kind: ListKind, entries: Vec<ServerEntry>, actions: &mut Vec<Action>) {
         if kind == ListKind::Failed {
-            self.ask_within(self.settings.rules.ask_within as f64 * ASK_AGAIN, actions);
+            self.ask_within(self.settings.rules.discovery_interval as f64 * ASK_AGAIN, actions);
             return;
         }
         let gone = entries.iter().filter(|e| e.state == ServerState::Gone).map(|e| e.id);
@@ -1091,16 +1093,16 @@
         entry.weight = if entry.weight > 0.0 { entry.weight } else { 1.0 };
         let known = self.places.get(&entry.id).copied();
         if let Some(server) =
-            known.map(|at| &mut self.servers[at]).filter(|s| s.entry.started == entry.started)
+            known.map(|at| &mut self.servers[at]).filter(|s| s.entry.started_at == entry.started_at)
         {
-            let moved = (server.entry.zone, server.entry.ring) != (entry.zone, entry.ring);
+            let moved = (server.entry.zone, server.entry.ring_hash) != (entry.zone, entry.ring_hash);
             server.entry = entry;
             return moved;
         }
         // Guards against wrong clocks: none starts after the news, or is warm that was another lately.
         let before = known.map_or(0, |at| self.servers[at].told);
-        let warm = |at: Micros| at < before && now - at >= self.settings.rules.warm_after;
-        let since = entry.started.map(|at| if warm(at) { now } else { at.min(now) });
+        let warm = |at: Micros| at < before && now - at >= self.settings.rules.warm_up_time;
+        let since = entry.started_at.map(|at| if warm(at) { now } else { at.min(now) });
         let breakers = vec![Breaker::default(); self.classes.len() + 1];
         let mut server = Server { entry, breakers, told: now, since, ..Server::default() };
         let at = known.unwrap_or(self.servers.len());
@@ -1144,7 +1146,7 @@
     /// one takes: as the zone's own do, or those of all zones, and at the least one call at a time.
     fn pace(&self, zone: ZoneId) -> f64 {
         let warm = || self.pools.iter().filter(|(_, p)| p.warm > 0);
-        let span = self.watched.max(self.settings.rules.tip_after as f64);
+        let span = self.watched.max(self.settings.rules.overload_time as f64);
         let each = |sent: f64, servers: u32| sent / span / f64::from(servers.max(1));
         let (sent, servers) = warm().fold((0.0, 0), |(sent, n), (_, p)| (sent + p.taken, n + p.warm));
         let here = warm().find(|(z, _)| **z == zone).map_or(0.0, |(_, p)| each(p.taken, p.warm));
@@ -1155,7 +1157,7 @@
 
     /// How long a call usually takes, or is taken to.
     fn usual(&self) -> f64 {
-        let shortest = self.settings.classes.iter().map(|c| c.aim).min().unwrap_or(0);
+        let shortest = self.settings.classes.iter().map(|c| c.latency_target).min().unwrap_or(0);
         let known = self.all.total >= MIN_SAMPLES;
         if known { self.all.p50 } else { ROOMY * self.split(shortest).max(self.settings.tick) as f64 }
     }
@@ -1166,8 +1168,9 @@
         let Server { entry, since, .. } = &self.servers[at];
         let share = self.servers[at].share(now, &self.settings.rules);
         if share < 1.0 && !self.all_cold {
-            let warm = since.unwrap_or(0).saturating_add(self.settings.rules.warm_after);
-            let turn = f64::from(self.settings.me) * APART + entry.ring as f64 / u64::MAX as f64;
+            let warm = since.unwrap_or(0).saturating_add(self.settings.rules.warm_up_time);
+            let turn =
+                f64::from(self.settings.balancer_index) * APART + entry.ring_hash as f64 / u64::MAX as f64;
             let spans = if first { turn.fract() } else { 0.9 + 0.2 * self.rng.f64() };
             let wait = self.pace(entry.zone) / share * spans;
             self.servers[at].not_before = now.saturating_add(wait as Micros).min(warm);
@@ -1175,13 +1178,13 @@
     }
 
     /// The servers that are cold, the share of its capacity that each has, how often picks passed it over.
-    pub fn cold(&self, now: Micros) -> Vec<(ServerId, f64, u64)> {
+    pub fn cold_servers(&self, now: Micros) -> Vec<(ServerId, f64, u64)> {
         let of = |s: &Server| (s.entry.id, s.share(now, &self.settings.rules), s.spared);
         self.servers.iter().map(of).filter(|(_, share, _)| *share < 1.0).collect()
     }
 
     /// Why a cold server gets a call: share, pace, its zone's warm servers and window, if none is warm.
-    pub fn cold_terms(&self, now: Micros, id: ServerId) -> Option<(f64, f64, u32, f64, bool)> {
+    pub fn cold_admission_factors(&self, now: Micros, id: ServerId) -> Option<(f64, f64, u32, f64, bool)> {
         let server = &self.servers[*self.places.get(&id)?];
         let (share, pool) = (server.share(now, &self.settings.rules), self.pools.get(&server.entry.zone)?);
         Some((share, self.pace(server.entry.zone), pool.warm, pool.window.min(pool.most), self.all_cold))
@@ -1210,7 +1213,7 @@
                 let widest = if cold { due(pool.servers, BEHIND).max(2.0) } else { f64::INFINITY };
                 pool.window = pool.window.min(widest);
                 let span = usual / share * (1.0 / pool.most - 1.0).max(0.0);
-                pool.resume = now + (span * self.rng.f64()).min(rules.warm_after as f64) as Micros;
+                pool.resume = now + (span * self.rng.f64()).min(rules.warm_up_time as f64) as Micros;
             }
         }
         for at in (0..self.servers.len()).filter(|_| turned) {
@@ -1221,9 +1224,9 @@
 
     /// Chooses the preferred servers of each zone: a stretch of the ring, neighbours' beside each other.
     fn prefer(&mut self) {
-        self.servers.sort_by_key(|s| (s.entry.zone, s.entry.ring, s.entry.id));
+        self.servers.sort_by_key(|s| (s.entry.zone, s.entry.ring_hash, s.entry.id));
         self.places = self.servers.iter().enumerate().map(|(at, s)| (s.entry.id, at)).collect();
-        let (me, balancers) = (self.settings.me as usize, self.settings.balancers as usize);
+        let (me, balancers) = (self.settings.balancer_index as usize, self.settings.balancers as usize);
         let mut from = 0;
         for (&zone, pool) in &mut self.pools {
             let n = pool.servers as usize;
--- a/wirehost/src/host.rs
+++ b/wirehost/src/host.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use finchshift as fs;
-use sloeline_settings::setup::{Names, Setup, micros, millis, ring, settings};
+use sloeline_settings::setup::{NameTable, Setup, balancer_settings, micros_to_ms, ms_to_micros, ring_hash};
 
 use crate::wire::{self, Message, Reply};
 
@@ -18,9 +18,9 @@
     balancer: fs::Balancer,
     classes: Vec<String>,
     tenants: Vec<String>,
-    zones: Names,
-    kinds: Names,
-    servers: Names,
+    zones: NameTable,
+    kinds: NameTable,
+    servers: NameTable,
     numbers: HashMap<String, u64>,
     open: HashMap<u64, Open>,
     next: u64,
@@ -74,7 +74,7 @@
         queue: l.backlog,
         utilization: l.utilization,
         throughput: l.throughput,
-        latency: l.recent_ms.map(micros),
+        latency: l.recent_ms.map(ms_to_micros),
         errors: l.errors_per_s,
     }
 }
@@ -91,7 +91,7 @@
             if self.now.is_some() {
                 return Err("a batch begins inside a batch".to_owned());
             }
-            self.now = Some(micros(now));
+            self.now = Some(ms_to_micros(now));
             return Ok(false);
         }
         let now = self.now.ok_or("a message outside a batch")?;
@@ -129,14 +129,15 @@
                 instance.next += 1;
                 instance.numbers.insert(rid.clone().into_owned(), id);
                 instance.open.insert(id, Open { name: rid.into_owned(), out: 0, closed: false });
-                let (time_left, work) = (micros(time_left_ms), expected_ms.map(micros));
+                let (time_left, work) = (ms_to_micros(time_left_ms), expected_ms.map(ms_to_micros));
                 let event = fs::Event::Request { id, class, time_left, tenant, work, retry };
                 self.tell(now, balancer_id, event, reply)?;
             }
             Message::Echo { balancer_id, upstream, disposition, time_taken_ms, load: l } => {
                 let Some(instance) = self.instances.get_mut(&balancer_id) else { return Ok(false) };
-                let server = instance.servers.number(&upstream);
-                let (outcome, latency, load) = (outcome(disposition), micros(time_taken_ms), l.map(load));
+                let server = instance.servers.id_of(&upstream);
+                let (outcome, latency, load) =
+                    (outcome(disposition), ms_to_micros(time_taken_ms), l.map(load));
                 self.tell(now, balancer_id, fs::Event::Probed { server, outcome, latency, load }, reply)?;
             }
             Message::AckFirst { balancer_id, rid, trial } => {
@@ -159,9 +160,9 @@
                 let event = fs::Event::Outcome {
                     request,
                     attempt: trial,
-                    server: instance.servers.number(&upstream),
+                    server: instance.servers.id_of(&upstream),
                     outcome: outcome(disposition),
-                    latency: micros(time_taken_ms),
+                    latency: ms_to_micros(time_taken_ms),
                     closed,
                     load: l.map(load),
                 };
@@ -176,7 +177,7 @@
             }
             Message::Aborted { balancer_id, rid } => {
                 if let Some(request) = self.request(balancer_id, &rid) {
-                    self.tell(now, balancer_id, fs::Event::Gone { request }, reply)?;
+                    self.tell(now, balancer_id, fs::Event::ClientGone { request }, reply)?;
                     if let Some(instance) = self.instances.get_mut(&balancer_id) {
                         instance.close(request);
                     }
@@ -194,15 +195,15 @@
     }
 
     fn start(&mut self, id: u64, seed: u64, setup: &Setup) -> Result<(), String> {
-        let mut zones = Names::default();
-        let settings = settings(setup, &mut zones)?;
+        let mut zones = NameTable::default();
+        let settings = balancer_settings(setup, &mut zones)?;
         let instance = Instance {
             balancer: fs::Balancer::new(settings, seed).map_err(|e| e.to_string())?,
-            classes: setup.categories.iter().map(|c| c.name.clone()).collect(),
-            tenants: setup.realms.iter().map(|r| r.name.clone()).collect(),
+            classes: setup.classes.iter().map(|c| c.name.clone()).collect(),
+            tenants: setup.tenants.iter().map(|r| r.name.clone()).collect(),
             zones,
-            kinds: Names::default(),
-            servers: Names::default(),
+            kinds: NameTable::default(),
+            servers: NameTable::default(),
             numbers: HashMap::new(),
             open: HashMap::new(),
             next: 0,
@@ -222,18 +223,18 @@
         if let (Some(instance), false) = (self.instances.get_mut(&balancer), form == wire::Form::Broken) {
             let table = self.tables.get(&set).ok_or_else(|| format!("no table {set}"))?;
             entries.extend(table.iter().map(|e| fs::ServerEntry {
-                id: instance.servers.number(&e.upstream),
-                zone: instance.zones.number(&e.locality),
-                kind: instance.kinds.number(&e.machine),
+                id: instance.servers.id_of(&e.upstream),
+                zone: instance.zones.id_of(&e.locality),
+                kind: instance.kinds.id_of(&e.machine),
                 cell: e.group,
-                ring: ring(&e.upstream),
+                ring_hash: ring_hash(&e.upstream),
                 state: match e.condition {
                     wire::Condition::On => fs::ServerState::Ready,
                     wire::Condition::Fading => fs::ServerState::Draining,
                     wire::Condition::Off => fs::ServerState::Gone,
                 },
                 weight: e.weight,
-                started: (e.last_start_ms > 0.0).then(|| micros(e.last_start_ms)),
+                started_at: (e.last_start_ms > 0.0).then(|| ms_to_micros(e.last_start_ms)),
             }));
         }
         Ok(fs::Event::Servers { kind, entries })
@@ -275,13 +276,13 @@
     match action {
         fs::Action::Send { request, server: to, limit } => {
             let (rid, upstream) = (rid(request), server(*to));
-            write(reply, &Reply::CallOut { balancer_id, rid, limit_ms: millis(*limit), upstream })?;
+            write(reply, &Reply::CallOut { balancer_id, rid, limit_ms: micros_to_ms(*limit), upstream })?;
             if let Some(open) = instance.open.get_mut(request) {
                 open.out += 1;
             }
         }
         fs::Action::Refuse { request, retry_after } => {
-            let wait_ms = millis(*retry_after);
+            let wait_ms = micros_to_ms(*retry_after);
             write(reply, &Reply::Refuse { balancer_id, rid: rid(request), wait_ms })?;
             instance.close(*request);
         }
@@ -299,7 +300,7 @@
             write(reply, &Reply::ShutIdle { balancer_id, upstream: server(*to) })?;
         }
         fs::Action::Timer { delay, token } => {
-            write(reply, &Reply::Schedule { balancer_id, offset_ms: millis(*delay), ctx: *token })?;
+            write(reply, &Reply::Schedule { balancer_id, offset_ms: micros_to_ms(*delay), ctx: *token })?;
         }
         fs::Action::Watch => write(reply, &Reply::Subscribe { balancer_id, enable: true })?,
         fs::Action::Fetch => write(reply, &Reply::QueryAll { balancer_id })?,
@@ -319,7 +320,7 @@
         let mut host = Host::default();
         host.start(6, 1, &serde_json::from_str(setup).expect("a setup")).expect("it starts");
         let instance = host.instances.get_mut(&6).expect("an instance");
-        let server = instance.servers.number("10.0.0.1:80");
+        let server = instance.servers.id_of("10.0.0.1:80");
         for (id, name) in ["r-0", "r-1", "r-2"].into_iter().enumerate() {
             instance.numbers.insert(name.to_owned(), id as u64);
             instance.open.insert(id as u64, Open { name: name.to_owned(), out: 0, closed: false });
--- a/wirehost/src/wire.rs
+++ b/wirehost/src/wire.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
-use sloeline_settings::setup::{Setup, one};
+use sloeline_settings::setup::{Setup, default_one};
 
 /// A message from the bench.
 #[derive(Deserialize)]
@@ -165,7 +165,7 @@
     #[serde(default)]
     pub group: u32,
     pub condition: Condition,
-    #[serde(default = "one")]
+    #[serde(default = "default_one")]
     pub weight: f64,
     #[serde(default)]
     pub last_start_ms: f64,
