--- a/engine/src/engine.rs
+++ b/engine/src/engine.rs
@@ -9,7 +9,7 @@
 use finchshift as fs;
 use finchshift::{ListKind, Micros, Outcome, RequestId, ServerId};
 use sloeline_events::tell;
-use sloeline_settings::setup::Names;
+use sloeline_settings::setup::NameTable;
 use tokio::sync::{Notify, oneshot};
 
 use crate::clock::Clock;
@@ -166,7 +166,7 @@
 
 impl<W: Transport> Engine<W> {
     /// A balancer with the given settings; `zones` holds the numbers that the settings use.
-    pub fn new(settings: fs::Settings, zones: &Names, seed: u64, wire: W) -> Result<Rc<Self>, String> {
+    pub fn new(settings: fs::Settings, zones: &NameTable, seed: u64, wire: W) -> Result<Rc<Self>, String> {
         Ok(Rc::new(Engine {
             wire,
             clock: Clock::new(),
@@ -437,12 +437,12 @@
     }
 
     /// See [`Core::learned`].
-    pub fn learned(&self) -> (fs::Learned, Vec<(String, Vec<f64>)>) {
+    pub fn learned(&self) -> (fs::LearnedState, Vec<(String, Vec<f64>)>) {
         self.core.borrow().learned()
     }
 
     /// See [`Core::import_learned`].
-    pub fn import_learned(self: &Rc<Self>, learned: fs::Learned, zones: Vec<(String, Vec<f64>)>) {
+    pub fn import_learned(self: &Rc<Self>, learned: fs::LearnedState, zones: Vec<(String, Vec<f64>)>) {
         self.with(|core, now| core.import_learned(now, learned, zones));
     }
 
