--- a/engine/src/core.rs
+++ b/engine/src/core.rs
@@ -714,7 +714,12 @@
     }
 
     /// Goes on with what another process has learned; after its list.
-    pub fn import_learned(&mut self, now: Micros, mut learned: fs::LearnedState, zones: Vec<(String, Vec<f64>)>) {
+    pub fn import_learned(
+        &mut self,
+        now: Micros,
+        mut learned: fs::LearnedState,
+        zones: Vec<(String, Vec<f64>)>,
+    ) {
         let numbered = |(name, figures): (String, _)| Some((self.registry.zone_number(&name)?, figures));
         learned.zones = zones.into_iter().filter_map(numbered).collect();
         self.balancer.restore(now, &learned);
--- a/mesh/data-plane/src/program.rs
+++ b/mesh/data-plane/src/program.rs
@@ -72,7 +72,8 @@
 pub fn run(path: &Path) -> Result<()> {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().context("start the runtime")?;
-    LocalSet::new().block_on(&runtime, async { run_with_settings(reload::watch_settings(path.to_owned())?).await })
+    LocalSet::new()
+        .block_on(&runtime, async { run_with_settings(reload::watch_settings(path.to_owned())?).await })
 }
 
 fn unix_micros() -> u64 {
--- a/mesh/testbed/tests/core.rs
+++ b/mesh/testbed/tests/core.rs
@@ -113,8 +113,7 @@
             out_of_contact: true,
             records,
             ..
-        }) =
-            told
+        }) = told
         else {
             panic!("{told:?}");
         };
