--- a/http/src/gate.rs
+++ b/http/src/client_io.rs
@@ -29,7 +29,7 @@
 
 /// How long each stage of a connection may take.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pace {
+pub struct StageTimeouts {
     /// A connection on which no request is open is kept this long.
     pub idle: Duration,
     /// A head may take this long from its first byte.
@@ -38,21 +38,29 @@
     pub body: Duration,
     /// ... and so much longer as what has come of it takes at this rate, in bytes a second; 0 for no longer. Spares a
     /// slow sender ...
-    pub rate: u64,
+    pub body_min_rate: u64,
     /// ... but not one of which nothing has come for so long.
-    pub silence: Duration,
+    pub body_silence: Duration,
     /// Longest silence of an upstream within an answer that passes through.
-    pub stall: Duration,
+    pub upstream_stall: Duration,
     /// Longest time in which a caller takes nothing of its answer. Far longer than the others: the kernel tells of room
     /// only when a third of its buffer is free, some megabytes to a caller that takes little.
-    pub stuck: Duration,
+    pub client_stall: Duration,
 }
 
-impl Default for Pace {
-    fn default() -> Pace {
+impl Default for StageTimeouts {
+    fn default() -> StageTimeouts {
         let [idle, head, body, silence] = [2000, 2600, 1200, 2000].map(Duration::from_millis);
         let [stall, stuck] = [6000, 30_000].map(Duration::from_millis);
-        Pace { idle, head, body, rate: SLOWEST, silence, stall, stuck }
+        StageTimeouts {
+            idle,
+            head,
+            body,
+            body_min_rate: SLOWEST,
+            body_silence: silence,
+            upstream_stall: stall,
+            client_stall: stuck,
+        }
     }
 }
 
@@ -81,20 +89,20 @@
 }
 
 /// The connections that are idle, longest first.
-pub struct Crowd {
-    pace: Cell<Pace>,
+pub struct IdleConnections {
+    pace: Cell<StageTimeouts>,
     idle: RefCell<BTreeMap<u64, (Instant, AbortHandle)>>,
     next: Cell<u64>,
 }
 
-impl Crowd {
+impl IdleConnections {
     /// None yet.
-    pub fn new(pace: Pace) -> Rc<Crowd> {
-        Rc::new(Crowd { pace: Cell::new(pace), idle: RefCell::default(), next: Cell::default() })
+    pub fn new(pace: StageTimeouts) -> Rc<IdleConnections> {
+        Rc::new(IdleConnections { pace: Cell::new(pace), idle: RefCell::default(), next: Cell::default() })
     }
 
     /// Changes how long stages may take from now on.
-    pub fn set_pace(&self, pace: Pace) {
+    pub fn set_pace(&self, pace: StageTimeouts) {
         self.pace.set(pace);
     }
 
@@ -114,7 +122,7 @@
 
 /// How far a connection is, seen from both sides of hyper.
 pub struct Progress {
-    crowd: Rc<Crowd>,
+    crowd: Rc<IdleConnections>,
     task: RefCell<Option<AbortHandle>>,
     stage: Cell<Stage>,
     since: Cell<Instant>,
@@ -140,7 +148,7 @@
 
 impl Progress {
     /// A connection that has just come.
-    pub fn new(crowd: Rc<Crowd>) -> Rc<Progress> {
+    pub fn new(crowd: Rc<IdleConnections>) -> Rc<Progress> {
         let now = Instant::now();
         Rc::new(Progress {
             crowd,
@@ -250,26 +258,28 @@
     pub fn due(&self) -> Option<Instant> {
         let pace = self.crowd.pace.get();
         match self.stage.get() {
-            Stage::Idle | Stage::Answering if self.stuck.get() => Some(self.written.get() + pace.stuck),
+            Stage::Idle | Stage::Answering if self.stuck.get() => {
+                Some(self.written.get() + pace.client_stall)
+            }
             // One that still takes its last answer is not idle yet.
             Stage::Idle => Some(self.since.get().max(self.written.get()) + pace.idle),
             Stage::Head => Some(self.first_byte.get() + pace.head),
             // The upstream's doing.
             Stage::Body if self.held_up() => {
-                self.held_up.get().map(|since| since + pace.stall.max(self.waits.get()))
+                self.held_up.get().map(|since| since + pace.upstream_stall.max(self.waits.get()))
             }
             Stage::Body => {
-                let earned = match pace.rate {
+                let earned = match pace.body_min_rate {
                     0 => Duration::ZERO,
                     rate => Duration::from_secs_f64(self.passed.get() as f64 / rate as f64),
                 };
                 // A whole request has at least as long as a head.
                 let least = self.first_byte.get() + pace.head;
                 let slow = (self.since.get() + pace.body).max(least) + earned + self.held.get();
-                Some(slow.min((self.came.get() + pace.silence).max(least)))
+                Some(slow.min((self.came.get() + pace.body_silence).max(least)))
             }
             Stage::Open => None,
-            Stage::Answering => Some(self.since.get().max(self.written.get()) + pace.stall),
+            Stage::Answering => Some(self.since.get().max(self.written.get()) + pace.upstream_stall),
         }
     }
 
@@ -306,7 +316,7 @@
 }
 
 /// The connection between the socket and hyper.
-pub struct Gate {
+pub struct ClientIo {
     stream: TcpStream,
     progress: Rc<Progress>,
     /// What has been read and not passed on.
@@ -314,10 +324,10 @@
     next: Next,
 }
 
-impl Gate {
+impl ClientIo {
     /// Nothing read yet.
-    pub fn new(stream: TcpStream, progress: Rc<Progress>) -> Gate {
-        Gate { stream, progress, held: Vec::new(), next: Next::Head }
+    pub fn new(stream: TcpStream, progress: Rc<Progress>) -> ClientIo {
+        ClientIo { stream, progress, held: Vec::new(), next: Next::Head }
     }
 
     /// The socket, when hyper is done with it.
@@ -354,7 +364,7 @@
     }
 }
 
-impl Read for Gate {
+impl Read for ClientIo {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -427,7 +437,7 @@
     }
 }
 
-impl Gate {
+impl ClientIo {
     fn note<T>(&self, written: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
         self.progress.stuck.set(written.is_pending());
         if matches!(written, Poll::Ready(Ok(_))) {
@@ -437,7 +447,7 @@
     }
 }
 
-impl Write for Gate {
+impl Write for ClientIo {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(cx, buf);
         self.note(written)
@@ -472,7 +482,7 @@
     fn paused(test: impl AsyncFnOnce(Rc<Progress>)) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
         // Within, where the clock stands.
-        let test = async { test(Progress::new(Crowd::new(Pace::default()))).await };
+        let test = async { test(Progress::new(IdleConnections::new(StageTimeouts::default()))).await };
         runtime.expect("a runtime").block_on(test);
     }
 
@@ -504,14 +514,14 @@
             assert!(progress.due().expect("a time") < much + Duration::from_secs(3));
             assert!(begun > start);
             // Held up by an upstream it is waited for, and the caller has its own time afterwards.
-            let pace = Pace::default();
+            let pace = StageTimeouts::default();
             progress.came(1000);
             assert!(progress.held_up());
-            assert_eq!(progress.due(), Some(Instant::now() + pace.stall));
+            assert_eq!(progress.due(), Some(Instant::now() + pace.upstream_stall));
             tokio::time::advance(10 * HALF).await;
             progress.asked();
             assert!(!progress.held_up());
-            assert_eq!(progress.due(), Some(Instant::now() + pace.silence));
+            assert_eq!(progress.due(), Some(Instant::now() + pace.body_silence));
         });
     }
 
@@ -521,15 +531,15 @@
             progress.taken();
             assert_eq!(progress.due(), None);
             progress.answering();
-            let pace = Pace::default();
-            assert_eq!(progress.due(), Some(Instant::now() + pace.stall));
+            let pace = StageTimeouts::default();
+            assert_eq!(progress.due(), Some(Instant::now() + pace.upstream_stall));
             tokio::time::advance(HALF).await;
             // Something went out, then the caller takes nothing.
             progress.written.set(Instant::now());
             progress.stuck.set(true);
-            assert_eq!(progress.due(), Some(Instant::now() + pace.stuck));
+            assert_eq!(progress.due(), Some(Instant::now() + pace.client_stall));
             progress.answered();
-            assert_eq!(progress.due(), Some(Instant::now() + pace.stuck));
+            assert_eq!(progress.due(), Some(Instant::now() + pace.client_stall));
             progress.stuck.set(false);
             assert_eq!(progress.due(), Some(Instant::now() + pace.idle));
         });
--- a/http/src/front.rs
+++ b/http/src/frontend.rs
@@ -21,15 +21,19 @@
 use crate::upstream::{Call, Reply};
 
 /// A final answer.
-pub type Answered = Response<Payload>;
+pub type ClientResponse = Response<Payload>;
 
 /// Looks at heads. One for each listener.
-pub trait Front: 'static {
+pub trait Frontend: 'static {
     /// What its engines send over.
-    type Wire: Transport<Call = Call, Reply = Reply>;
+    type EngineTransport: Transport<Call = Call, Reply = Reply>;
 
     /// Decides on a request by its head; the error is its final answer, and nothing of it was sent.
-    fn admit(&self, head: &Parts, peer: SocketAddr) -> Result<Admission<Self::Wire>, Answered>;
+    fn admit(
+        &self,
+        head: &Parts,
+        peer: SocketAddr,
+    ) -> Result<Admission<Self::EngineTransport>, ClientResponse>;
 
     /// Requests can be served.
     fn ready(&self) -> bool;
@@ -39,12 +43,12 @@
 }
 
 /// Looks at the answer to a request of an operation that is described.
-pub trait Witness {
+pub trait ResponseObserver {
     /// The operation's number.
     fn operation(&self) -> u64;
 
     /// An upstream's answer has begun, so long after the request was taken.
-    fn answered(self: Box<Self>, status: StatusCode, headers: &HeaderMap, took: Micros);
+    fn on_response(self: Box<Self>, status: StatusCode, headers: &HeaderMap, took: Micros);
 }
 
 /// A request that is taken if its body comes.
@@ -60,7 +64,7 @@
     /// A guess at its work.
     pub work: Option<Micros>,
     /// Its caller marks it as a repeat.
-    pub retry: bool,
+    pub is_retry: bool,
     /// The method that is forwarded.
     pub method: Method,
     /// Path and query that are forwarded.
@@ -68,19 +72,19 @@
     /// The end-to-end headers that are forwarded.
     pub headers: HeaderMap,
     /// Most bytes of its body.
-    pub most_body: usize,
+    pub max_body_bytes: usize,
     /// Most bytes of its answer that are held at once.
-    pub most_answer: usize,
+    pub response_reservation_bytes: usize,
     /// Its class has no body.
-    pub bodiless: bool,
+    pub forbids_body: bool,
     /// No other open request of this listener may have it.
-    pub id: Option<HeaderValue>,
+    pub request_id: Option<HeaderValue>,
     /// The bytes that bodies of its pool may take.
-    pub bodies: Rc<Share>,
+    pub body_memory: Rc<Share>,
     /// The operation that it runs, and who looks at its answer.
-    pub witness: Option<Box<dyn Witness>>,
+    pub observer: Option<Box<dyn ResponseObserver>>,
     /// What it holds until it is answered.
-    pub held: Option<Box<dyn Any>>,
+    pub guard: Option<Box<dyn Any>>,
 }
 
 /// How many requests have each class, from their heads to their answers. Guards a body that is on its way while the
@@ -92,29 +96,29 @@
 
 impl Admitted {
     /// Counts one until what is returned is dropped.
-    pub fn hold(self: &Rc<Self>, class: fs::ClassId) -> Holding {
+    pub fn count(self: &Rc<Self>, class: fs::ClassId) -> AdmittedGuard {
         let mut counts = self.counts.borrow_mut();
         if counts.len() <= class {
             counts.resize(class + 1, 0);
         }
         counts[class] += 1;
-        Holding { admitted: self.clone(), class }
+        AdmittedGuard { admitted: self.clone(), class }
     }
 
     /// Whether there is any of this class.
-    pub fn any(&self, class: fs::ClassId) -> bool {
+    pub fn any_open(&self, class: fs::ClassId) -> bool {
         self.counts.borrow().get(class).is_some_and(|n| *n > 0)
     }
 }
 
 /// A request that is counted.
 #[derive(Debug)]
-pub struct Holding {
+pub struct AdmittedGuard {
     admitted: Rc<Admitted>,
     class: fs::ClassId,
 }
 
-impl Drop for Holding {
+impl Drop for AdmittedGuard {
     fn drop(&mut self) {
         if let Some(count) = self.admitted.counts.borrow_mut().get_mut(self.class) {
             *count -= 1;
@@ -123,7 +127,7 @@
 }
 
 /// The headers that are not about the connection or the framing.
-pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
+pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let named: Vec<&str> = headers
         .get_all(CONNECTION)
         .iter()
@@ -139,13 +143,13 @@
 }
 
 /// An answer of the balancer's own.
-pub fn plain(status: StatusCode, why: impl Into<Bytes>) -> Answered {
+pub fn text_response(status: StatusCode, why: impl Into<Bytes>) -> ClientResponse {
     let mut response = Response::new(why.into().into());
     *response.status_mut() = status;
     response
 }
 
 /// Digits and nothing else.
-pub fn number(text: &str) -> Option<u64> {
+pub fn parse_digits(text: &str) -> Option<u64> {
     (!text.is_empty() && text.bytes().all(|b| b.is_ascii_digit())).then(|| text.parse().ok())?
 }
--- a/http/src/payload.rs
+++ b/http/src/payload.rs
@@ -11,78 +11,78 @@
 
 /// How a long body ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum End {
+pub enum BodyEnd {
     /// All of it has passed.
-    Whole,
+    Complete,
     /// Its sender broke off, or it is longer than it may be.
-    Broken,
+    Failed,
     /// Nobody wants the rest.
-    Left,
+    Abandoned,
 }
 
 /// The body of an answer.
 #[derive(Debug)]
 pub enum Payload {
     /// It is here.
-    Whole(Full<Bytes>),
+    Buffered(Full<Bytes>),
     /// It is on its way.
-    Passing(Box<Passing>),
+    Streaming(Box<StreamingBody>),
 }
 
 impl From<Bytes> for Payload {
     fn from(bytes: Bytes) -> Payload {
-        Payload::Whole(Full::new(bytes))
+        Payload::Buffered(Full::new(bytes))
     }
 }
 
 /// A body that goes on as its sender gives it, in either direction: what is not taken on is not read, so that it takes no
 /// more memory than a buffer on each side.
-pub struct Passing {
+pub struct StreamingBody {
     first: Option<Bytes>,
     rest: Incoming,
     /// Bytes that the rest may still have.
     most: u64,
-    ends: Vec<Box<dyn FnOnce(End)>>,
+    ends: Vec<Box<dyn FnOnce(BodyEnd)>>,
 }
 
-impl fmt::Debug for Passing {
+impl fmt::Debug for StreamingBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Passing").field("most", &self.most).finish_non_exhaustive()
+        f.debug_struct("StreamingBody").field("most", &self.most).finish_non_exhaustive()
     }
 }
 
-impl Passing {
+impl StreamingBody {
     /// What has come of a body, and its rest, which may have so many bytes.
-    pub fn new(first: Bytes, rest: Incoming, most: u64) -> Passing {
-        Passing { first: Some(first).filter(|f| !f.is_empty()), rest, most, ends: Vec::new() }
+    pub fn new(first: Bytes, rest: Incoming, most: u64) -> StreamingBody {
+        StreamingBody { first: Some(first).filter(|f| !f.is_empty()), rest, most, ends: Vec::new() }
     }
 
     /// Tells its end once, also when it is dropped.
-    pub fn at_end(&mut self, tell: impl FnOnce(End) + 'static) {
+    pub fn on_end(&mut self, tell: impl FnOnce(BodyEnd) + 'static) {
         self.ends.push(Box::new(tell));
     }
 
     /// Of a body whose length was told nobody asks for more than that.
     fn end_if_last(&mut self) {
         if self.rest.is_end_stream() {
-            self.end(End::Whole);
+            self.end(BodyEnd::Complete);
         }
     }
 
-    fn end(&mut self, how: End) {
+    fn end(&mut self, how: BodyEnd) {
         for tell in self.ends.drain(..) {
             tell(how);
         }
     }
 }
 
-impl Drop for Passing {
+impl Drop for StreamingBody {
     fn drop(&mut self) {
-        self.end(End::Left);
+        self.end(BodyEnd::Abandoned);
     }
 }
 
-impl Body for Passing {
+impl Body for StreamingBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -98,7 +98,7 @@
         // With what has no end its reader must see that it is not whole: an error breaks its connection.
         let failed = match ready!(Pin::new(&mut this.rest).poll_frame(cx)) {
             None => {
-                this.end(End::Whole);
+                this.end(BodyEnd::Complete);
                 return Poll::Ready(None);
             }
             Some(Ok(frame)) => {
@@ -114,7 +114,7 @@
             }
             Some(Err(e)) => io::Error::other(e),
         };
-        this.end(End::Broken);
+        this.end(BodyEnd::Failed);
         Poll::Ready(Some(Err(failed)))
     }
 
@@ -144,22 +144,22 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         match self.get_mut() {
-            Payload::Whole(whole) => Pin::new(whole).poll_frame(cx).map_err(|never| match never {}),
-            Payload::Passing(passing) => Pin::new(&mut **passing).poll_frame(cx),
+            Payload::Buffered(whole) => Pin::new(whole).poll_frame(cx).map_err(|never| match never {}),
+            Payload::Streaming(passing) => Pin::new(&mut **passing).poll_frame(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Payload::Whole(whole) => whole.is_end_stream(),
-            Payload::Passing(passing) => passing.is_end_stream(),
+            Payload::Buffered(whole) => whole.is_end_stream(),
+            Payload::Streaming(passing) => passing.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Payload::Whole(whole) => whole.size_hint(),
-            Payload::Passing(passing) => passing.size_hint(),
+            Payload::Buffered(whole) => whole.size_hint(),
+            Payload::Streaming(passing) => passing.size_hint(),
         }
     }
 }
--- a/http/src/platform.rs
+++ b/http/src/platform.rs
@@ -13,54 +13,56 @@
 use sloeline_engine::engine::{Engine, Transport};
 use sloeline_limits::Share;
 
-use crate::front::{Admission, Admitted, Answered, Front, end_to_end, number, plain};
+use crate::frontend::{
+    Admission, Admitted, ClientResponse, Frontend, end_to_end_headers, parse_digits, text_response,
+};
 use crate::upstream::{Call, Reply};
-use crate::{HELD, MOST_BODY};
+use crate::{MAX_BUFFERED_BYTES, PLATFORM_MAX_BODY_BYTES};
 
 const REQ_ID: HeaderName = HeaderName::from_static("req-id");
 const KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
 /// Named classes and tenants before one engine.
-pub struct Platform<W: Transport> {
+pub struct PlatformFrontend<W: Transport> {
     engine: Rc<Engine<W>>,
-    named: RefCell<Named>,
+    named: RefCell<PlatformNames>,
     admitted: Rc<Admitted>,
     bodies: Rc<Share>,
 }
 
 /// What requests may name.
 #[derive(Default)]
-pub struct Named {
+pub struct PlatformNames {
     /// Classes: their number and definition.
     pub classes: HashMap<String, (fs::ClassId, fs::Class)>,
     /// Tenants: their number.
     pub tenants: HashMap<String, fs::TenantId>,
 }
 
-impl<W: Transport> Platform<W> {
+impl<W: Transport> PlatformFrontend<W> {
     /// A front for what may be named; bodies and answers take of the share.
-    pub fn new(engine: Rc<Engine<W>>, named: Named, bodies: Rc<Share>) -> Platform<W> {
-        Platform { engine, named: RefCell::new(named), admitted: Rc::default(), bodies }
+    pub fn new(engine: Rc<Engine<W>>, named: PlatformNames, bodies: Rc<Share>) -> PlatformFrontend<W> {
+        PlatformFrontend { engine, named: RefCell::new(named), admitted: Rc::default(), bodies }
     }
 
     /// Takes the next request by other names; those that are admitted keep their class.
-    pub fn rename(&self, named: Named) {
+    pub fn set_names(&self, named: PlatformNames) {
         *self.named.borrow_mut() = named;
     }
 
     /// Whether a request of the class is admitted or open: its number must keep its meaning.
-    pub fn uses(&self, class: fs::ClassId) -> bool {
-        self.admitted.any(class) || self.engine.class_in_use(class)
+    pub fn uses_class(&self, class: fs::ClassId) -> bool {
+        self.admitted.any_open(class) || self.engine.class_in_use(class)
     }
 }
 
-impl<W: Transport<Call = Call, Reply = Reply>> Front for Platform<W> {
-    type Wire = W;
+impl<W: Transport<Call = Call, Reply = Reply>> Frontend for PlatformFrontend<W> {
+    type EngineTransport = W;
 
-    fn admit(&self, head: &Parts, _peer: SocketAddr) -> Result<Admission<W>, Answered> {
-        let bad = |why: &'static str| plain(StatusCode::BAD_REQUEST, why);
+    fn admit(&self, head: &Parts, _peer: SocketAddr) -> Result<Admission<W>, ClientResponse> {
+        let bad = |why: &'static str| text_response(StatusCode::BAD_REQUEST, why);
         if head.uri.path() != "/api" {
-            return Err(plain(StatusCode::NOT_FOUND, "no such path"));
+            return Err(text_response(StatusCode::NOT_FOUND, "no such path"));
         }
         // Guards against peers that read the first of two and others that read the last.
         let doubled = |name: &HeaderName| head.headers.get_all(name).iter().nth(1).is_some();
@@ -75,7 +77,7 @@
         let request_id = head.headers.get(REQ_ID).filter(|id| !HeaderValue::is_empty(id));
         let request_id = request_id.ok_or_else(|| bad("no Req-Id"))?;
         if head.method != Method::GET && head.method != Method::POST {
-            return Err(plain(StatusCode::METHOD_NOT_ALLOWED, "GET or POST"));
+            return Err(text_response(StatusCode::METHOD_NOT_ALLOWED, "GET or POST"));
         }
         // Method and key say what may be repeated; the class says the same, or one of the two is wrong.
         let key = head.headers.get(KEY).map(|key| !key.is_empty());
@@ -90,11 +92,11 @@
         let time_left = match head.headers.get("req-deadline-ms") {
             None => class.deadline,
             Some(_) => {
-                let deadline = text("req-deadline-ms").and_then(number);
+                let deadline = text("req-deadline-ms").and_then(parse_digits);
                 deadline.ok_or_else(|| bad("Req-Deadline-Ms is no number"))?.saturating_mul(1000)
             }
         };
-        let headers = end_to_end(&head.headers);
+        let headers = end_to_end_headers(&head.headers);
         // Guards against a caller that names them as its connection's own: they would not go on.
         if [REQ_ID, KEY].iter().any(|name| head.headers.contains_key(name) && !headers.contains_key(name)) {
             return Err(bad("Connection names Req-Id or Idempotency-Key"));
@@ -106,18 +108,18 @@
             class: *id,
             time_left: time_left.min(class.deadline),
             tenant: text("req-owner").and_then(|t| named.tenants.get(t).copied()),
-            work: text("req-cost").and_then(number),
-            retry: text("req-retry") == Some("1"),
+            work: text("req-cost").and_then(parse_digits),
+            is_retry: text("req-retry") == Some("1"),
             method: head.method.clone(),
             uri: path.into(),
             headers,
-            most_body: MOST_BODY,
-            most_answer: HELD,
-            bodiless: class.effect == Effect::Safe,
-            id: Some(request_id.clone()),
-            bodies: self.bodies.clone(),
-            witness: None,
-            held: Some(Box::new(self.admitted.hold(*id))),
+            max_body_bytes: PLATFORM_MAX_BODY_BYTES,
+            response_reservation_bytes: MAX_BUFFERED_BYTES,
+            forbids_body: class.effect == Effect::Safe,
+            request_id: Some(request_id.clone()),
+            body_memory: self.bodies.clone(),
+            observer: None,
+            guard: Some(Box::new(self.admitted.count(*id))),
         })
     }
 
--- a/http/src/pool.rs
+++ b/http/src/pool.rs
@@ -26,7 +26,7 @@
 use tokio::time::{Instant, sleep_until, timeout};
 
 use crate::MOST_HEAD;
-use crate::upload::Outgoing;
+use crate::upload::OutgoingBody;
 
 /// Part of the upstreams' idle time after which a connection is closed here: far from crossing theirs.
 const KEEP: f64 = 0.7;
@@ -102,7 +102,7 @@
 /// A connection; dropped, it is closed.
 pub struct Conn {
     /// Takes the next request.
-    pub sender: SendRequest<Outgoing>,
+    pub sender: SendRequest<OutgoingBody>,
     /// What moves its bytes; ended, the connection is closed.
     pub driver: AbortHandle,
     stream: Weak<RefCell<TokioIo<TcpStream>>>,
@@ -319,7 +319,7 @@
     }
 
     /// Closes connections that have been idle too long; one sleep for all of them.
-    pub async fn tend(self: Rc<Self>) {
+    pub async fn close_expired(self: Rc<Self>) {
         loop {
             let oldest = {
                 let mut idle = self.idle.borrow_mut();
--- a/http/src/routed.rs
+++ b/http/src/routed.rs
@@ -19,7 +19,10 @@
 use sloeline_routing::target::{Target, TargetError, percent_decode};
 use tokio::sync::oneshot;
 
-use crate::front::{Admission, Admitted, Answered, Front, Holding, Witness, end_to_end, number, plain};
+use crate::frontend::{
+    Admission, Admitted, AdmittedGuard, ClientResponse, Frontend, ResponseObserver, end_to_end_headers,
+    parse_digits, text_response,
+};
 use crate::upstream::{Call, Reply};
 
 const FORWARDED_FOR: HeaderName = HeaderName::from_static("x-forwarded-for");
@@ -52,44 +55,44 @@
     /// The numbers of the tenants.
     pub tenants: RefCell<HashMap<String, fs::TenantId>>,
     /// How many requests it may have open.
-    pub open: Rc<Share>,
+    pub open_requests: Rc<Share>,
     /// What operators let it take for a time.
-    pub bound: AdmissionLimit,
+    pub operator_limit: AdmissionLimit,
     /// What the fleet lets this instance take of what all may.
-    pub fleet: AdmissionLimit,
+    pub fleet_limit: AdmissionLimit,
     /// Bytes that bodies and answers may take.
-    pub bodies: Rc<Share>,
+    pub body_memory: Rc<Share>,
     /// Most bytes of an answer.
-    pub most_answer: Cell<usize>,
+    pub response_reservation_bytes: Cell<usize>,
     /// The requests that are admitted, their bodies still on their way or not.
     pub admitted: Rc<Admitted>,
     /// Dropped with the pool, when neither routes nor requests hold it any more.
-    pub held: oneshot::Sender<()>,
+    pub dropped_signal: oneshot::Sender<()>,
 }
 
 impl<W: Transport> Pool<W> {
     /// Whether a request of the class is admitted or open: its number must keep its meaning.
-    pub fn uses(&self, class: fs::ClassId) -> bool {
-        self.admitted.any(class) || self.engine.class_in_use(class)
+    pub fn uses_class(&self, class: fs::ClassId) -> bool {
+        self.admitted.any_open(class) || self.engine.class_in_use(class)
     }
 }
 
 /// A request in a pool, from its head to its answer.
 struct InHand<W: Transport> {
     _pool: Rc<Pool<W>>,
-    _class: Holding,
+    _class: AdmittedGuard,
     _place: Permit,
 }
 
 impl<W: Transport> InHand<W> {
     fn new(pool: &Rc<Pool<W>>, class: fs::ClassId, place: Permit) -> InHand<W> {
-        InHand { _pool: pool.clone(), _class: pool.admitted.hold(class), _place: place }
+        InHand { _pool: pool.clone(), _class: pool.admitted.count(class), _place: place }
     }
 }
 
 /// A class that a route may give.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ClassOf {
+pub struct RouteClass {
     /// Its name.
     pub name: String,
     /// What may be repeated.
@@ -99,7 +102,7 @@
 }
 
 /// One side of a route's split, or its only pool.
-pub struct Side<W: Transport> {
+pub struct RoutePool<W: Transport> {
     /// The pool.
     pub pool: Rc<Pool<W>>,
     /// The number there of each of the route's classes.
@@ -107,7 +110,7 @@
 }
 
 /// An answer, as an operation looks at it.
-pub struct Seen<'a> {
+pub struct ObservedResponse<'a> {
     /// The key of the request.
     pub key: Option<&'a str>,
     /// The status.
@@ -115,44 +118,47 @@
     /// The headers.
     pub headers: &'a HeaderMap,
     /// How long it took, in microseconds.
-    pub took: Micros,
+    pub elapsed: Micros,
 }
 
 /// An operation that is described: its answers are looked at, and it may turn out less harmless than its class says.
 pub trait Operation {
     /// The same for as long as its requests are the same.
-    fn number(&self) -> u64;
+    fn id(&self) -> u64;
     /// It is not as harmless to repeat as described.
-    fn narrowed(&self) -> bool;
+    fn is_narrowed(&self) -> bool;
     /// Looks at an answer; true where it is narrowed by this one.
-    fn answered(&self, seen: &Seen<'_>) -> bool;
+    fn observe(&self, seen: &ObservedResponse<'_>) -> bool;
 }
 
 /// A route's operation.
-pub struct Described {
+pub struct DescribedOperation {
     /// The operation.
     pub operation: Rc<dyn Operation>,
     /// The class by which its requests go once it is narrowed.
-    pub narrow: usize,
+    pub narrowed_class: usize,
 }
 
 /// Looks at the answer to one request.
-struct Watching<W: Transport> {
+struct OperationObserver<W: Transport> {
     service: Rc<Service<W>>,
     operation: Rc<dyn Operation>,
     key: Option<String>,
 }
 
-impl<W: Transport> Witness for Watching<W> {
+impl<W: Transport> ResponseObserver for OperationObserver<W> {
     fn operation(&self) -> u64 {
-        self.operation.number()
+        self.operation.id()
     }
 
-    fn answered(self: Box<Self>, status: StatusCode, headers: &HeaderMap, took: Micros) {
-        let seen = Seen { key: self.key.as_deref(), status, headers, took };
-        if self.operation.answered(&seen) {
+    fn on_response(self: Box<Self>, status: StatusCode, headers: &HeaderMap, took: Micros) {
+        let seen = ObservedResponse { key: self.key.as_deref(), status, headers, elapsed: took };
+        if self.operation.observe(&seen) {
             // Those that are open in any of its pools, before their next attempt.
-            self.service.sides.iter().for_each(|side| side.pool.engine.forbid_retry(self.operation.number()));
+            self.service
+                .route_pools
+                .iter()
+                .for_each(|side| side.pool.engine.forbid_retry(self.operation.id()));
         }
     }
 }
@@ -160,11 +166,11 @@
 /// What becomes of the requests of a route.
 pub struct Service<W: Transport> {
     /// The pools.
-    pub sides: Vec<Side<W>>,
+    pub route_pools: Vec<RoutePool<W>>,
     /// Which of them, where there are several, and by what a caller is kept on its side.
     pub split: Option<(Split, Option<Source>)>,
     /// The classes; the first where no header chooses.
-    pub classes: Vec<ClassOf>,
+    pub classes: Vec<RouteClass>,
     /// The header that names the class.
     pub class_header: Option<HeaderName>,
     /// Whose requests they are.
@@ -172,9 +178,9 @@
     /// What a keyed request is known by.
     pub key: Option<Source>,
     /// Most bytes of a body.
-    pub most_body: usize,
+    pub max_body_bytes: usize,
     /// The operation, where it is described.
-    pub described: Option<Described>,
+    pub described: Option<DescribedOperation>,
 }
 
 /// The routes of a listener as of one configuration.
@@ -188,24 +194,24 @@
     /// The header in which callers say how long they wait, in milliseconds.
     pub deadline_header: Option<HeaderName>,
     /// Requests that no route was found for.
-    pub strangers: Rc<Cell<u64>>,
+    pub unrouted_requests: Rc<Cell<u64>>,
 }
 
 /// A front whose routes can be replaced; requests that were admitted keep theirs.
-pub struct Routed<W: Transport> {
+pub struct RoutedFrontend<W: Transport> {
     now: RefCell<Rc<Routes<W>>>,
 }
 
-impl<W: Transport> Routed<W> {
+impl<W: Transport> RoutedFrontend<W> {
     /// A front with these routes.
-    pub fn new(routes: Routes<W>) -> Routed<W> {
-        Routed { now: RefCell::new(Rc::new(routes)) }
+    pub fn new(routes: Routes<W>) -> RoutedFrontend<W> {
+        RoutedFrontend { now: RefCell::new(Rc::new(routes)) }
     }
 
     /// Takes the next request by other routes; those before come back, where no request is being admitted by them: to
     /// take them apart is work.
     #[must_use]
-    pub fn replace(&self, routes: Routes<W>) -> Option<Routes<W>> {
+    pub fn replace_routes(&self, routes: Routes<W>) -> Option<Routes<W>> {
         Rc::into_inner(self.now.replace(Rc::new(routes)))
     }
 }
@@ -248,12 +254,16 @@
     }
 }
 
-fn bad(why: impl Into<String>) -> Answered {
-    plain(StatusCode::BAD_REQUEST, why.into())
+fn bad(why: impl Into<String>) -> ClientResponse {
+    text_response(StatusCode::BAD_REQUEST, why.into())
 }
 
 /// What a request says at a place; nothing where it says nothing there.
-fn told(source: &Source, request: &Request<'_>, headers: &HeaderMap) -> Result<Option<String>, Answered> {
+fn told(
+    source: &Source,
+    request: &Request<'_>,
+    headers: &HeaderMap,
+) -> Result<Option<String>, ClientResponse> {
     let twice = |what: &str| bad(format!("{what} stands twice or is no text"));
     let seen = match source {
         Source::Fixed(value) => return Ok(Some(value.clone())),
@@ -271,10 +281,10 @@
     }
 }
 
-impl<W: Transport<Call = Call, Reply = Reply>> Front for Routed<W> {
-    type Wire = W;
+impl<W: Transport<Call = Call, Reply = Reply>> Frontend for RoutedFrontend<W> {
+    type EngineTransport = W;
 
-    fn admit(&self, head: &Parts, peer: SocketAddr) -> Result<Admission<W>, Answered> {
+    fn admit(&self, head: &Parts, peer: SocketAddr) -> Result<Admission<W>, ClientResponse> {
         let routes = self.now.borrow().clone();
         let target = target(head).map_err(|why| bad(why.to_string()))?;
         let header = |name: &str| seen(&head.headers, name);
@@ -282,16 +292,16 @@
         let (route, service) = match routes.table.find(&request) {
             Ok(at) => {
                 let found = routes.table.routes().get(at).zip(routes.services.get(at));
-                found.ok_or_else(|| plain(StatusCode::NOT_FOUND, "no such route"))?
+                found.ok_or_else(|| text_response(StatusCode::NOT_FOUND, "no such route"))?
             }
             Err(NoRoute::NotFound) => {
-                routes.strangers.set(routes.strangers.get() + 1);
-                return Err(plain(StatusCode::NOT_FOUND, "no such route"));
+                routes.unrouted_requests.set(routes.unrouted_requests.get() + 1);
+                return Err(text_response(StatusCode::NOT_FOUND, "no such route"));
             }
             Err(NoRoute::Ambiguous(place)) => return Err(bad(format!("{place} stands twice or is no text"))),
             Err(NoRoute::MethodNotAllowed(methods)) => {
-                routes.strangers.set(routes.strangers.get() + 1);
-                let mut answer = plain(StatusCode::METHOD_NOT_ALLOWED, "no route for this method");
+                routes.unrouted_requests.set(routes.unrouted_requests.get() + 1);
+                let mut answer = text_response(StatusCode::METHOD_NOT_ALLOWED, "no route for this method");
                 if let Ok(methods) = HeaderValue::from_str(&methods.join(", ")) {
                     answer.headers_mut().insert(ALLOW, methods);
                 }
@@ -300,7 +310,7 @@
         };
         let number_of_class = match (&service.class_header, &service.described) {
             // As evidence has it, not as it was described.
-            (_, Some(described)) if described.operation.narrowed() => described.narrow,
+            (_, Some(described)) if described.operation.is_narrowed() => described.narrowed_class,
             (None, _) => 0,
             (Some(name), _) => {
                 let named = told(&Source::Header(name.clone()), &request, &head.headers)?;
@@ -309,7 +319,7 @@
             }
         };
         let Some(class) = service.classes.get(number_of_class) else {
-            return Err(plain(StatusCode::NOT_FOUND, "a route without a class"));
+            return Err(text_response(StatusCode::NOT_FOUND, "a route without a class"));
         };
         // Guards against an upstream that runs another operation than the one whose class this is.
         if class.effect != Effect::Unsafe && OVERRIDES.iter().any(|name| head.headers.contains_key(name)) {
@@ -326,7 +336,9 @@
             .map(|n| told(&Source::Header(n.clone()), &request, &head.headers));
         let waits = match waits.transpose()?.flatten() {
             None => Micros::MAX,
-            Some(text) => number(&text).ok_or_else(|| bad("the deadline is no number"))?.saturating_mul(1000),
+            Some(text) => {
+                parse_digits(&text).ok_or_else(|| bad("the deadline is no number"))?.saturating_mul(1000)
+            }
         };
         let side = match &service.split {
             None => 0,
@@ -336,26 +348,26 @@
                 split.choose(value.map_or_else(|| hash(peer.to_string().as_bytes()), |v| hash(v.as_bytes())))
             }
         };
-        let Some(side) = service.sides.get(side) else {
-            return Err(plain(StatusCode::NOT_FOUND, "a route without a pool"));
+        let Some(side) = service.route_pools.get(side) else {
+            return Err(text_response(StatusCode::NOT_FOUND, "a route without a pool"));
         };
         let pool = &side.pool;
         // Nothing can be sent, and nothing was: the caller need not wait to hear so.
         if pool.engine.ready_upstreams() == 0 {
             return Err(self.refused("no upstream"));
         }
-        if let Err(wait) = pool.bound.admit(pool.engine.now(), pool.open.used()) {
+        if let Err(wait) = pool.operator_limit.admit(pool.engine.now(), pool.open_requests.used()) {
             return Err(self.refused_for("limited by an operator", wait));
         }
-        if let Err(wait) = pool.fleet.admit(pool.engine.now(), 0) {
+        if let Err(wait) = pool.fleet_limit.admit(pool.engine.now(), 0) {
             return Err(self.refused_for("the fleet's limit", wait));
         }
         // Guards the other pools: one whose upstreams hang holds no more than its part.
-        let place = pool.open.acquire(1).ok_or_else(|| self.refused("the pool is full"))?;
+        let place = pool.open_requests.acquire(1).ok_or_else(|| self.refused("the pool is full"))?;
         let deadline = class.deadline;
         let class = side.classes.get(number_of_class).copied().flatten();
-        let class = class.ok_or_else(|| plain(StatusCode::NOT_FOUND, "a route without a class"))?;
-        let mut headers = end_to_end(&head.headers);
+        let class = class.ok_or_else(|| text_response(StatusCode::NOT_FOUND, "a route without a class"))?;
+        let mut headers = end_to_end_headers(&head.headers);
         // Guards against a caller that names the key, or what the route was found by, as its connection's own: the
         // upstream would get another request than the one that was matched.
         let taken_off = |name: &str| head.headers.contains_key(name) && !headers.contains_key(name);
@@ -382,7 +394,7 @@
         }
         let witness = service.described.as_ref().map(|described| {
             let (service, operation) = (service.clone(), described.operation.clone());
-            Box::new(Watching { service, operation, key }) as Box<dyn Witness>
+            Box::new(OperationObserver { service, operation, key }) as Box<dyn ResponseObserver>
         });
         Ok(Admission {
             engine: pool.engine.clone(),
@@ -390,17 +402,17 @@
             time_left: waits.min(deadline),
             tenant: tenant.and_then(|t| pool.tenants.borrow().get(&t).copied()),
             work: None,
-            retry: false,
+            is_retry: false,
             method: head.method.clone(),
             uri: forwarded(&target, &head.uri).ok_or_else(|| bad("the target cannot be forwarded"))?,
             headers,
-            most_body: service.most_body,
-            most_answer: pool.most_answer.get(),
-            bodiless: [Method::GET, Method::HEAD].contains(&head.method),
-            id: None,
-            bodies: pool.bodies.clone(),
-            witness,
-            held: Some(Box::new(InHand::new(pool, class, place))),
+            max_body_bytes: service.max_body_bytes,
+            response_reservation_bytes: pool.response_reservation_bytes.get(),
+            forbids_body: [Method::GET, Method::HEAD].contains(&head.method),
+            request_id: None,
+            body_memory: pool.body_memory.clone(),
+            observer: witness,
+            guard: Some(Box::new(InHand::new(pool, class, place))),
         })
     }
 
@@ -414,13 +426,13 @@
     }
 }
 
-impl<W: Transport<Call = Call, Reply = Reply>> Routed<W> {
-    fn refused(&self, why: &'static str) -> Answered {
+impl<W: Transport<Call = Call, Reply = Reply>> RoutedFrontend<W> {
+    fn refused(&self, why: &'static str) -> ClientResponse {
         self.refused_for(why, 0)
     }
 
-    fn refused_for(&self, why: &'static str, wait: Micros) -> Answered {
-        let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE, why);
+    fn refused_for(&self, why: &'static str, wait: Micros) -> ClientResponse {
+        let mut answer = text_response(StatusCode::SERVICE_UNAVAILABLE, why);
         if let Some(seconds) = self.retry_after(wait) {
             answer.headers_mut().insert(hyper::header::RETRY_AFTER, seconds);
         }
--- a/http/src/callers.rs
+++ b/http/src/server.rs
@@ -27,12 +27,12 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-use crate::front::{Admission, Answered, Front, end_to_end, plain};
-use crate::gate::{Crowd, Fault, Gate, Pace, Progress, Stage};
-use crate::payload::{End, Payload};
-use crate::upload::{Sent, Upload};
+use crate::client_io::{ClientIo, Fault, IdleConnections, Progress, Stage, StageTimeouts};
+use crate::frontend::{Admission, ClientResponse, Frontend, end_to_end_headers, text_response};
+use crate::payload::{BodyEnd, Payload};
+use crate::upload::{RequestBody, StreamingUpload};
 use crate::upstream::Call;
-use crate::{HELD, MOST_HEAD};
+use crate::{MAX_BUFFERED_BYTES, MOST_HEAD};
 
 /// From the order to stop to the kill there is the longest deadline, or this where that is longer ...
 const LONGEST_WAIT: Duration = Duration::from_secs(3);
@@ -68,34 +68,40 @@
 
 /// What the callers of a listener may take up.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Room {
+pub struct ServerLimits {
     /// Connections.
-    pub places: usize,
+    pub max_connections: usize,
     /// How long each stage of a connection may take.
-    pub pace: Pace,
+    pub timeouts: StageTimeouts,
     /// The path that tells whether requests can be served.
     pub ready_path: String,
     /// How long after the order to stop the last answer is given.
-    pub leave_within: Duration,
+    pub drain_timeout: Duration,
     /// How long after it connections and requests are still taken.
-    pub still_taken: Duration,
+    pub accept_after_stop: Duration,
 }
 
-impl Room {
+impl ServerLimits {
     /// So many places, and all else as the platform has it; `longest` is the longest deadline.
-    pub fn platform(places: usize, longest: Micros) -> Room {
-        let leave_within = Duration::from_micros(longest).min(LONGEST_WAIT) + KILL_MARGIN;
-        let (pace, ready_path) = (Pace::default(), "/health/ready".to_owned());
-        Room { places, pace, ready_path, leave_within, still_taken: leave_within.mul_f64(STILL_TAKEN) }
+    pub fn platform(max_connections: usize, longest: Micros) -> ServerLimits {
+        let drain_timeout = Duration::from_micros(longest).min(LONGEST_WAIT) + KILL_MARGIN;
+        let (pace, ready_path) = (StageTimeouts::default(), "/health/ready".to_owned());
+        ServerLimits {
+            max_connections,
+            timeouts: pace,
+            ready_path,
+            drain_timeout,
+            accept_after_stop: drain_timeout.mul_f64(STILL_TAKEN),
+        }
     }
 }
 
 /// The callers of one listener.
-pub struct Callers<F: Front> {
+pub struct HttpServer<F: Frontend> {
     front: F,
-    places: Arc<Semaphore>,
-    room: RefCell<Room>,
-    crowd: Rc<Crowd>,
+    connection_slots: Arc<Semaphore>,
+    room: RefCell<ServerLimits>,
+    crowd: Rc<IdleConnections>,
     /// The ids of the requests that are open.
     ids: RefCell<HashSet<HeaderValue>>,
     /// When the order to stop came.
@@ -107,34 +113,46 @@
     posture: watch::Sender<Posture>,
 }
 
-impl<F: Front> Callers<F> {
+impl<F: Frontend> HttpServer<F> {
     /// The callers that a front serves.
-    pub fn new(front: F, room: Room, phase: watch::Receiver<Phase>) -> Rc<Self> {
-        let (places, crowd) = (Arc::new(Semaphore::new(room.places)), Crowd::new(room.pace));
+    pub fn new(front: F, room: ServerLimits, phase: watch::Receiver<Phase>) -> Rc<Self> {
+        let (places, crowd) =
+            (Arc::new(Semaphore::new(room.max_connections)), IdleConnections::new(room.timeouts));
         let (room, ids) = (RefCell::new(room), RefCell::default());
         let (ordered, leave) = (Cell::default(), Notify::new());
         let (posture, _) = watch::channel(Posture::default());
-        Rc::new(Callers { front, places, room, crowd, ids, ordered, leave, phase, posture })
+        Rc::new(HttpServer {
+            front,
+            connection_slots: places,
+            room,
+            crowd,
+            ids,
+            ordered,
+            leave,
+            phase,
+            posture,
+        })
     }
 
     /// Meets clients in this way from now on.
-    pub fn pose(&self, posture: Posture) {
+    pub fn set_posture(&self, posture: Posture) {
         self.posture.send_if_modified(|now| std::mem::replace(now, posture) != posture);
     }
 
     /// The front.
-    pub fn front(&self) -> &F {
+    pub fn frontend(&self) -> &F {
         &self.front
     }
 
     /// Changes what may be taken up; connections that are there stay.
-    pub fn resize(&self, room: Room) {
+    pub fn set_limits(&self, room: ServerLimits) {
         let before = std::mem::replace(&mut *self.room.borrow_mut(), room.clone());
-        self.crowd.set_pace(room.pace);
-        match room.places.checked_sub(before.places) {
-            Some(more) => self.places.add_permits(more),
+        self.crowd.set_pace(room.timeouts);
+        match room.max_connections.checked_sub(before.max_connections) {
+            Some(more) => self.connection_slots.add_permits(more),
             None => {
-                let (places, fewer) = (self.places.clone(), before.places - room.places);
+                let (places, fewer) =
+                    (self.connection_slots.clone(), before.max_connections - room.max_connections);
                 spawn_local(async move {
                     // One by one: all at once would keep every place that frees from those who wait.
                     for _ in 0..fewer {
@@ -147,12 +165,12 @@
         }
     }
 
-    fn leave_within(&self) -> Duration {
-        self.room.borrow().leave_within
+    fn drain_timeout(&self) -> Duration {
+        self.room.borrow().drain_timeout
     }
 
     fn most(&self) -> usize {
-        self.room.borrow().places
+        self.room.borrow().max_connections
     }
 
     /// Takes connections until the order to stop and a little longer, or until none are to come any more.
@@ -192,14 +210,14 @@
                     None => {
                         let now = Instant::now();
                         let removed = *self.phase.borrow() == Phase::Closing;
-                        let still = if removed { IN_QUEUE } else { self.room.borrow().still_taken };
+                        let still = if removed { IN_QUEUE } else { self.room.borrow().accept_after_stop };
                         stop_at = Some(now + still);
                         // A listener that is removed leaves its requests their own time.
                         if !removed {
                             self.ordered.set(Some(now));
                             let this = self.clone();
                             spawn_local(async move {
-                                sleep_until(now + this.leave_within()).await;
+                                sleep_until(now + this.drain_timeout()).await;
                                 this.leave.notify_waiters();
                             });
                         }
@@ -213,7 +231,7 @@
                 Some(waiting) => Some(waiting),
                 None => timeout(Duration::ZERO, listener.accept()).await.ok().and_then(Result::ok),
             }
-            && let Ok(place) = self.places.clone().try_acquire_owned()
+            && let Ok(place) = self.connection_slots.clone().try_acquire_owned()
         {
             self.take(stream, peer, place);
         }
@@ -228,23 +246,23 @@
     }
 
     /// Waits until all connections are closed.
-    pub async fn closed(&self) {
-        let _ = self.places.acquire_many(self.most() as u32).await;
+    pub async fn wait_closed(&self) {
+        let _ = self.connection_slots.acquire_many(self.most() as u32).await;
     }
 
     /// A place for a new connection. Guards against those that say nothing and leave none: the one that has
     /// been idle longest makes room.
     async fn place(&self) -> Result<OwnedSemaphorePermit, AcquireError> {
-        while self.places.available_permits() == 0 {
+        while self.connection_slots.available_permits() == 0 {
             match self.crowd.close_oldest() {
                 Ok(()) | Err(None) => break,
                 Err(Some(ripe)) => tokio::select! {
-                    place = self.places.clone().acquire_owned() => return place,
+                    place = self.connection_slots.clone().acquire_owned() => return place,
                     () = sleep_until(ripe) => {}
                 },
             }
         }
-        self.places.clone().acquire_owned().await
+        self.connection_slots.clone().acquire_owned().await
     }
 
     async fn connection(
@@ -267,7 +285,7 @@
         });
         let mut builder = http1::Builder::new();
         builder.max_buf_size(MOST_HEAD);
-        let mut connection = builder.serve_connection(Gate::new(stream, progress.clone()), service);
+        let mut connection = builder.serve_connection(ClientIo::new(stream, progress.clone()), service);
         let mut phase = self.phase.clone();
         let mut posture = self.posture.subscribe();
         let mut late = Box::pin(sleep(Duration::ZERO));
@@ -321,7 +339,7 @@
         request: Request<Incoming>,
         peer: SocketAddr,
         progress: &Rc<Progress>,
-    ) -> Answered {
+    ) -> ClientResponse {
         let mut response = if request.uri().path() == self.room.borrow().ready_path {
             self.ready()
         } else {
@@ -330,35 +348,35 @@
         // What comes after a request that was not read, or whose end only hyper knows, is no request.
         let last = progress.unread() || progress.chunked();
         match response.body_mut() {
-            Payload::Passing(passing) => {
+            Payload::Streaming(passing) => {
                 // The next request waits for the end of this one's answer.
                 progress.answering();
                 let progress = progress.clone();
-                passing.at_end(move |end| {
-                    if !last && end == End::Whole {
+                passing.on_end(move |end| {
+                    if !last && end == BodyEnd::Complete {
                         progress.answered();
                     }
                 });
             }
-            Payload::Whole(_) if !last => progress.answered(),
-            Payload::Whole(_) => {}
+            Payload::Buffered(_) if !last => progress.answered(),
+            Payload::Buffered(_) => {}
         }
         let most = self.most();
-        let crowded = (self.places.available_permits() as f64) < (1.0 - CROWDED) * most as f64;
+        let crowded = (self.connection_slots.available_permits() as f64) < (1.0 - CROWDED) * most as f64;
         if last || crowded || self.posture.borrow().answers_close || *self.phase.borrow() == Phase::Closing {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         response
     }
 
-    fn ready(&self) -> Answered {
+    fn ready(&self) -> ClientResponse {
         // Stopping, it is ready only where another process serves at its address.
         let posture = *self.posture.borrow();
         let running = *self.phase.borrow() == Phase::Running || !posture.accepts;
         if running && posture.ready && self.front.ready() {
-            plain(StatusCode::OK, "ready")
+            text_response(StatusCode::OK, "ready")
         } else {
-            plain(StatusCode::SERVICE_UNAVAILABLE, "not ready")
+            text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready")
         }
     }
 
@@ -367,44 +385,55 @@
         request: Request<Incoming>,
         peer: SocketAddr,
         progress: &Rc<Progress>,
-    ) -> Answered {
+    ) -> ClientResponse {
         let (head, body) = request.into_parts();
         let admission = match self.front.admit(&head, peer) {
             Ok(admission) => admission,
             Err(answer) => return answer,
         };
         // What it holds of the memory for bodies: a place for its answer, and its own body as far as it has come.
-        let Some(room) = admission.bodies.acquire(admission.most_answer) else {
+        let Some(room) = admission.body_memory.acquire(admission.response_reservation_bytes) else {
             return self.refused(0, "no room");
         };
         let mut upload = None;
         let (body, room) = match read(body, &admission).await {
             Ok(Come::Whole(body, own)) => {
                 progress.taken();
-                (Sent::Whole(body), (room, own))
+                (RequestBody::Buffered(body), (room, own))
             }
             Ok(Come::Passing(body)) => {
                 let progress = progress.clone();
                 progress.passes(Duration::from_micros(admission.time_left));
-                body.when_come(move || progress.taken());
+                body.on_received(move || progress.taken());
                 upload = Some(body.clone());
-                (Sent::Passing(body), (room, Vec::new()))
+                (RequestBody::Streaming(body), (room, Vec::new()))
             }
-            Err((status, why)) => return plain(status, why),
+            Err((status, why)) => return text_response(status, why),
         };
-        let Admission { engine, class, tenant, work, retry, method, uri, headers, id, held, witness, .. } =
-            admission;
+        let Admission {
+            engine,
+            class,
+            tenant,
+            work,
+            is_retry: retry,
+            method,
+            uri,
+            headers,
+            request_id: id,
+            guard: held,
+            observer: witness,
+            ..
+        } = admission;
         // Guards against a second request under an id that is open: upstreams could not tell them apart.
         let _id = match id.map(|id| Id::take(&self.ids, &id)) {
-            Some(None) => return plain(StatusCode::BAD_REQUEST, "this Req-Id is open"),
+            Some(None) => return text_response(StatusCode::BAD_REQUEST, "this Req-Id is open"),
             taken => taken,
         };
         let _held = held;
         // Guards against the kill: what is taken late is answered before it can come.
-        let until_kill =
-            self.ordered.get().filter(|at| at.elapsed() > UNHURRIED).map_or(Micros::MAX, |at| {
-                self.leave_within().saturating_sub(at.elapsed()).as_micros() as Micros
-            });
+        let until_kill = self.ordered.get().filter(|at| at.elapsed() > UNHURRIED).map_or(Micros::MAX, |at| {
+            self.drain_timeout().saturating_sub(at.elapsed()).as_micros() as Micros
+        });
         let time_left = admission.time_left.min(until_kill);
         let head_only = method == Method::HEAD;
         let call = Call { method, uri, headers, body };
@@ -420,16 +449,16 @@
         match answer {
             Answer::Served(mut reply) => {
                 if let Some(witness) = witness {
-                    witness.answered(reply.status, &reply.headers, asked.elapsed().as_micros() as Micros);
+                    witness.on_response(reply.status, &reply.headers, asked.elapsed().as_micros() as Micros);
                 }
                 // The request's body is kept as long as its attempt, which ends with the answer.
-                if let Payload::Passing(passing) = &mut reply.body {
-                    passing.at_end(move |_| drop(room));
+                if let Payload::Streaming(passing) = &mut reply.body {
+                    passing.on_end(move |_| drop(room));
                 }
                 let length = reply.headers.get(CONTENT_LENGTH).filter(|_| head_only).cloned();
                 let mut response = Response::new(reply.body);
                 *response.status_mut() = reply.status;
-                *response.headers_mut() = end_to_end(&reply.headers);
+                *response.headers_mut() = end_to_end_headers(&reply.headers);
                 // Of the body that is not there (RFC 9110 section 9.3.2).
                 if let Some(length) = length {
                     response.headers_mut().insert(CONTENT_LENGTH, length);
@@ -437,18 +466,20 @@
                 response
             }
             // It never ran, and it never will.
-            Answer::Refused { .. } if upload.is_some_and(|u| u.broken()) => {
-                plain(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large or broke off")
+            Answer::Refused { .. } if upload.is_some_and(|u| u.is_failed()) => {
+                text_response(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large or broke off")
             }
             Answer::Refused { retry_after } => self.refused(retry_after, "refused"),
-            Answer::Failed(Failure::DeadlineExceeded) => plain(StatusCode::GATEWAY_TIMEOUT, "out of time"),
-            Answer::Failed(Failure::Upstream) => plain(StatusCode::BAD_GATEWAY, "upstream failed"),
+            Answer::Failed(Failure::DeadlineExceeded) => {
+                text_response(StatusCode::GATEWAY_TIMEOUT, "out of time")
+            }
+            Answer::Failed(Failure::Upstream) => text_response(StatusCode::BAD_GATEWAY, "upstream failed"),
         }
     }
 
     /// Trying again is harmless.
-    fn refused(&self, wish: Micros, why: &'static str) -> Answered {
-        let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, why);
+    fn refused(&self, wish: Micros, why: &'static str) -> ClientResponse {
+        let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, why);
         if let Some(seconds) = self.front.retry_after(wish) {
             response.headers_mut().insert(RETRY_AFTER, seconds);
         }
@@ -461,7 +492,7 @@
     /// All of it, and its memory.
     Whole(Bytes, Vec<Permit>),
     /// There is no memory for the rest: it passes on.
-    Passing(Rc<Upload>),
+    Passing(Rc<StreamingUpload>),
 }
 
 /// Reads a body whole, if there is memory for it; the request's clock starts when this is done. Memory is taken as it
@@ -471,7 +502,7 @@
     admission: &Admission<W>,
 ) -> Result<Come, (StatusCode, &'static str)> {
     let too_large = (StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
-    let most = admission.most_body as u64;
+    let most = admission.max_body_bytes as u64;
     if body.size_hint().lower() > most {
         return Err(too_large);
     }
@@ -480,7 +511,7 @@
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| (StatusCode::BAD_REQUEST, "broken body"))?;
         let Ok(data) = frame.into_data() else { continue };
-        if admission.bodiless && !data.is_empty() {
+        if admission.forbids_body && !data.is_empty() {
             return Err((StatusCode::BAD_REQUEST, "a body that does not fit the class"));
         }
         let length = whole.len() + data.len();
@@ -491,10 +522,16 @@
             // Twice as much each time, as the buffer grows, and no more than is told.
             let more = if exact > 0 { exact.min(2 * length) } else { 2 * length }.max(length) - reserved;
             // Guards the others: as with shares of a reserve, one body leaves free as much as it has itself.
-            let modest = reserved + more <= HELD || admission.bodies.available() >= reserved + 2 * more;
-            let Some(taken) = admission.bodies.acquire(more).filter(|_| modest) else {
+            let modest = reserved + more <= MAX_BUFFERED_BYTES
+                || admission.body_memory.available() >= reserved + 2 * more;
+            let Some(taken) = admission.body_memory.acquire(more).filter(|_| modest) else {
                 whole.extend_from_slice(&data);
-                return Ok(Come::Passing(Upload::new(whole.freeze(), room, body, most - length as u64)));
+                return Ok(Come::Passing(StreamingUpload::new(
+                    whole.freeze(),
+                    room,
+                    body,
+                    most - length as u64,
+                )));
             };
             room.push(taken);
             reserved += more;
--- a/http/src/upload.rs
+++ b/http/src/upload.rs
@@ -12,122 +12,124 @@
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use sloeline_limits::Permit;
 
-use crate::payload::{End, Passing};
+use crate::payload::{BodyEnd, StreamingBody};
 
 /// The body of a request as attempts send it.
 #[derive(Clone)]
-pub enum Sent {
+pub enum RequestBody {
     /// It is here.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// It is on its way.
-    Passing(Rc<Upload>),
+    Streaming(Rc<StreamingUpload>),
 }
 
-impl Sent {
+impl RequestBody {
     /// Bytes that it has at the least.
-    pub fn least(&self) -> u64 {
+    pub fn min_length(&self) -> u64 {
         match self {
-            Sent::Whole(bytes) => bytes.len() as u64,
-            Sent::Passing(upload) => upload.passing.borrow().size_hint().lower(),
+            RequestBody::Buffered(bytes) => bytes.len() as u64,
+            RequestBody::Streaming(upload) => upload.passing.borrow().size_hint().lower(),
         }
     }
 
     /// How many bytes it has, where that is known before its end.
     pub fn length(&self) -> Option<u64> {
         match self {
-            Sent::Whole(bytes) => Some(bytes.len() as u64),
-            Sent::Passing(upload) => upload.length,
+            RequestBody::Buffered(bytes) => Some(bytes.len() as u64),
+            RequestBody::Streaming(upload) => upload.length,
         }
     }
 
     /// Its last byte has come from the caller.
-    pub fn has_come(&self) -> bool {
+    pub fn is_received(&self) -> bool {
         match self {
-            Sent::Whole(_) => true,
-            Sent::Passing(upload) => upload.ended.get() == Some(End::Whole),
+            RequestBody::Buffered(_) => true,
+            RequestBody::Streaming(upload) => upload.ended.get() == Some(BodyEnd::Complete),
         }
     }
 
     /// A part of it is used up: no other attempt can have it.
-    pub fn spent(&self) -> bool {
+    pub fn is_consumed(&self) -> bool {
         match self {
-            Sent::Whole(_) => false,
-            Sent::Passing(upload) => upload.frames.get() > 0,
+            RequestBody::Buffered(_) => false,
+            RequestBody::Streaming(upload) => upload.frames.get() > 0,
         }
     }
 
     /// As one attempt sends it.
-    pub fn outgoing(&self) -> Outgoing {
+    pub fn outgoing(&self) -> OutgoingBody {
         match self {
-            Sent::Whole(bytes) => Outgoing::Whole(Full::new(bytes.clone())),
-            Sent::Passing(upload) => Outgoing::Passing { upload: upload.clone(), begun: false },
+            RequestBody::Buffered(bytes) => OutgoingBody::Buffered(Full::new(bytes.clone())),
+            RequestBody::Streaming(upload) => {
+                OutgoingBody::Streaming { upload: upload.clone(), begun: false }
+            }
         }
     }
 }
 
 /// A body that passes: what the upstream does not take is not read.
-pub struct Upload {
-    passing: RefCell<Passing>,
+pub struct StreamingUpload {
+    passing: RefCell<StreamingBody>,
     length: Option<u64>,
     frames: Cell<u64>,
-    ended: Cell<Option<End>>,
+    ended: Cell<Option<BodyEnd>>,
     /// The memory of what was read before it was clear that there is not enough.
     room: RefCell<Vec<Permit>>,
-    when_come: RefCell<Vec<Box<dyn FnOnce()>>>,
+    on_received: RefCell<Vec<Box<dyn FnOnce()>>>,
 }
 
-impl Upload {
+impl StreamingUpload {
     /// What has come of a body and the memory that it has; its rest, which may have so many bytes.
-    pub fn new(first: Bytes, room: Vec<Permit>, rest: Incoming, most: u64) -> Rc<Upload> {
+    pub fn new(first: Bytes, room: Vec<Permit>, rest: Incoming, most: u64) -> Rc<StreamingUpload> {
         let here = first.len() as u64;
         let length = rest.size_hint().exact().and_then(|rest| rest.checked_add(here));
-        Rc::new_cyclic(|this: &std::rc::Weak<Upload>| {
-            let mut passing = Passing::new(first, rest, most);
+        Rc::new_cyclic(|this: &std::rc::Weak<StreamingUpload>| {
+            let mut passing = StreamingBody::new(first, rest, most);
             let this = this.clone();
-            passing.at_end(move |end| {
+            passing.on_end(move |end| {
                 let Some(upload) = this.upgrade() else { return };
                 upload.ended.set(Some(end));
-                if end == End::Whole {
-                    upload.when_come.take().into_iter().for_each(|tell| tell());
+                if end == BodyEnd::Complete {
+                    upload.on_received.take().into_iter().for_each(|tell| tell());
                 }
             });
             let (passing, room) = (RefCell::new(passing), RefCell::new(room));
-            Upload {
+            StreamingUpload {
                 passing,
                 length,
                 frames: Cell::new(0),
                 ended: Cell::new(None),
                 room,
-                when_come: RefCell::default(),
+                on_received: RefCell::default(),
             }
         })
     }
 
     /// Tells when its last byte has come; never where it breaks off.
-    pub fn when_come(&self, tell: impl FnOnce() + 'static) {
-        self.when_come.borrow_mut().push(Box::new(tell));
+    pub fn on_received(&self, tell: impl FnOnce() + 'static) {
+        self.on_received.borrow_mut().push(Box::new(tell));
     }
 
     /// It broke off, or is longer than it may be.
-    pub fn broken(&self) -> bool {
-        self.ended.get() == Some(End::Broken)
+    pub fn is_failed(&self) -> bool {
+        self.ended.get() == Some(BodyEnd::Failed)
     }
 }
 
 /// A body on its way to an upstream.
-pub enum Outgoing {
+pub enum OutgoingBody {
     /// A whole one.
-    Whole(Full<Bytes>),
+    Buffered(Full<Bytes>),
     /// One that passes.
-    Passing {
+    Streaming {
         /// Where it comes from.
-        upload: Rc<Upload>,
+        upload: Rc<StreamingUpload>,
         /// This attempt has begun to take of it.
         begun: bool,
     },
 }
 
-impl Body for Outgoing {
+impl Body for OutgoingBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -136,8 +138,8 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         match self.get_mut() {
-            Outgoing::Whole(whole) => Pin::new(whole).poll_frame(cx).map_err(|never| match never {}),
-            Outgoing::Passing { upload, begun } => {
+            OutgoingBody::Buffered(whole) => Pin::new(whole).poll_frame(cx).map_err(|never| match never {}),
+            OutgoingBody::Streaming { upload, begun } => {
                 // Guards against a second attempt with what the first has left of it.
                 if upload.frames.get() > 0 && !*begun {
                     return Poll::Ready(Some(Err(io::Error::other("the body is used up"))));
@@ -155,8 +157,8 @@
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Outgoing::Whole(whole) => whole.size_hint(),
-            Outgoing::Passing { upload, .. } => upload.passing.borrow().size_hint(),
+            OutgoingBody::Buffered(whole) => whole.size_hint(),
+            OutgoingBody::Streaming { upload, .. } => upload.passing.borrow().size_hint(),
         }
     }
 }
--- a/http/src/upstream.rs
+++ b/http/src/upstream.rs
@@ -17,66 +17,66 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{Instant, timeout};
 
-use crate::payload::{End, Passing, Payload};
+use crate::payload::{BodyEnd, Payload, StreamingBody};
 use crate::pool::{CONNECT_UNTOLD, Conn, Pool};
-use crate::upload::{Outgoing, Sent};
-use crate::{HELD, MOST_BODY};
+use crate::upload::{OutgoingBody, RequestBody};
+use crate::{MAX_BUFFERED_BYTES, PLATFORM_MAX_BODY_BYTES};
 
 /// How long a connection may take to be ready for the next request after its answer.
 const TURN_ROUND: Duration = Duration::from_millis(500);
 
 /// How upstreams speak: what their answers mean and what they are told.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Dialect {
+pub struct UpstreamProtocol {
     /// The header that tells how long the balancer waits, in whole milliseconds.
-    pub deadline: Option<HeaderName>,
+    pub deadline_header: Option<HeaderName>,
     /// Only 200 is served; else all final answers below 500 but 429 are the service's own and served.
-    pub only_ok: bool,
+    pub only_200: bool,
     /// A header with its value, and the statuses with which it proves that the request never ran.
-    pub declined: Option<(HeaderName, HeaderValue, Vec<StatusCode>)>,
+    pub declined_mark: Option<(HeaderName, HeaderValue, Vec<StatusCode>)>,
     /// Most bytes of an answer's body.
-    pub most_answer: usize,
+    pub max_response_bytes: usize,
     /// Answers up to here are read whole before they go on; longer ones pass through.
-    pub held: usize,
+    pub max_buffered_bytes: usize,
     /// Whatever its status, an answer is passed on as it came: for one that only forwards.
-    pub forwards: bool,
+    pub forwards_any_status: bool,
     /// The answer of an upstream that failed goes to the caller, where nothing better comes.
-    pub errors: bool,
+    pub forwards_errors: bool,
     /// A header that numbers each attempt and that its answer must echo: one that does not belongs to another.
-    pub echo: Option<HeaderName>,
+    pub echo_header: Option<HeaderName>,
 }
 
-impl Dialect {
+impl UpstreamProtocol {
     /// The platform's.
-    pub fn platform() -> Dialect {
+    pub fn platform() -> UpstreamProtocol {
         let statuses = vec![StatusCode::SERVICE_UNAVAILABLE, StatusCode::GATEWAY_TIMEOUT];
         let mark = (HeaderName::from_static("srv-declined"), HeaderValue::from_static("1"), statuses);
-        Dialect {
-            deadline: Some(HeaderName::from_static("req-deadline-ms")),
-            only_ok: true,
-            declined: Some(mark),
-            most_answer: MOST_BODY,
-            held: HELD,
-            forwards: false,
-            errors: false,
-            echo: None,
+        UpstreamProtocol {
+            deadline_header: Some(HeaderName::from_static("req-deadline-ms")),
+            only_200: true,
+            declined_mark: Some(mark),
+            max_response_bytes: PLATFORM_MAX_BODY_BYTES,
+            max_buffered_bytes: MAX_BUFFERED_BYTES,
+            forwards_any_status: false,
+            forwards_errors: false,
+            echo_header: None,
         }
     }
 
     fn served(&self, status: StatusCode) -> bool {
         // 429 is a refusal to a caller: passed on, it would promise that the request never ran.
         let own = status.as_u16() < 500 && status != StatusCode::TOO_MANY_REQUESTS;
-        if self.forwards {
+        if self.forwards_any_status {
             return !status.is_informational();
         }
-        if self.only_ok { status == StatusCode::OK } else { own && !status.is_informational() }
+        if self.only_200 { status == StatusCode::OK } else { own && !status.is_informational() }
     }
 
     fn declines(&self, status: StatusCode, headers: &HeaderMap) -> bool {
-        if self.forwards {
+        if self.forwards_any_status {
             return false;
         }
-        let Some((name, value, statuses)) = &self.declined else { return false };
+        let Some((name, value, statuses)) = &self.declined_mark else { return false };
         statuses.contains(&status) && headers.get(name) == Some(value)
     }
 }
@@ -90,7 +90,7 @@
     /// End-to-end headers.
     pub headers: HeaderMap,
     /// The body.
-    pub body: Sent,
+    pub body: RequestBody,
 }
 
 impl Call {
@@ -98,9 +98,9 @@
         &self,
         address: SocketAddr,
         limit: Option<Micros>,
-        dialect: &Dialect,
+        dialect: &UpstreamProtocol,
         number: u64,
-    ) -> Request<Outgoing> {
+    ) -> Request<OutgoingBody> {
         let mut request = Request::new(self.body.outgoing());
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
@@ -111,10 +111,10 @@
         {
             headers.insert(HOST, host);
         }
-        if let (Some(limit), Some(name)) = (limit, &dialect.deadline) {
+        if let (Some(limit), Some(name)) = (limit, &dialect.deadline_header) {
             headers.insert(name.clone(), HeaderValue::from(limit.div_ceil(1000)));
         }
-        if let Some(name) = &dialect.echo {
+        if let Some(name) = &dialect.echo_header {
             headers.insert(name.clone(), HeaderValue::from(number));
         }
         // RFC 9110 section 8.6: those that expect a body say so though it is empty.
@@ -143,7 +143,7 @@
     begun: RefCell<Option<Begun>>,
     /// Bytes of the request at the least.
     least: u64,
-    body: Sent,
+    body: RequestBody,
 }
 
 struct Begun {
@@ -154,7 +154,7 @@
 
 impl Flight {
     fn new(call: &Call) -> Rc<Flight> {
-        let (least, body) = (call.body.least() + 1, call.body.clone());
+        let (least, body) = (call.body.min_length() + 1, call.body.clone());
         Rc::new(Flight { begun: RefCell::new(None), least, body })
     }
 
@@ -167,13 +167,13 @@
     /// False only if the request's last byte is surely not written.
     fn may_have_run(&self) -> bool {
         let written = |b: &Begun| b.written.get() - b.before >= self.least;
-        self.body.has_come() && self.begun.borrow().as_ref().is_some_and(written)
+        self.body.is_received() && self.begun.borrow().as_ref().is_some_and(written)
     }
 }
 
 /// What came of a request that was passed on.
 #[derive(Debug)]
-pub enum Relayed {
+pub enum RelayOutcome {
     /// The upstream has not had it whole: it never ran.
     NotSent,
     /// It may have run, and there is no answer that could be passed on.
@@ -220,24 +220,24 @@
 /// All connections to upstreams.
 pub struct Upstreams {
     pool: Rc<Pool>,
-    dialect: RefCell<Rc<Dialect>>,
+    dialect: RefCell<Rc<UpstreamProtocol>>,
 }
 
 impl Upstreams {
     /// No connections yet, and never more than the share allows.
-    pub fn new(limits: &fs::Limits, places: Rc<Share>, dialect: Dialect) -> Upstreams {
+    pub fn new(limits: &fs::Limits, places: Rc<Share>, dialect: UpstreamProtocol) -> Upstreams {
         Upstreams { pool: Rc::new(Pool::new(limits, places)), dialect: RefCell::new(Rc::new(dialect)) }
     }
 
     /// Goes on under other settings; attempts that are out keep theirs.
-    pub fn set(&self, limits: &fs::Limits, dialect: Dialect) {
+    pub fn set_config(&self, limits: &fs::Limits, dialect: UpstreamProtocol) {
         self.pool.set(limits);
         *self.dialect.borrow_mut() = Rc::new(dialect);
     }
 
     /// Closes idle connections in time; never returns.
-    pub fn tend(&self) -> impl Future<Output = ()> + use<> {
-        self.pool.clone().tend()
+    pub fn close_expired(&self) -> impl Future<Output = ()> + use<> {
+        self.pool.clone().close_expired()
     }
 
     /// Starts an attempt.
@@ -250,9 +250,9 @@
     ) -> Attempt {
         let (pool, flight, dialect) = (self.pool.clone(), Flight::new(&call), self.dialect.borrow().clone());
         let shared = flight.clone();
-        if let Sent::Passing(upload) = &call.body {
+        if let RequestBody::Streaming(upload) = &call.body {
             let come = report.body_receipt();
-            upload.when_come(move || come.complete());
+            upload.on_received(move || come.complete());
         }
         let task = spawn_local(async move {
             let ended = exchange(&pool, to, &call, Some(limit), &dialect, &shared).await;
@@ -286,41 +286,49 @@
         call: &Call,
         limit: Micros,
         right: impl FnOnce(StatusCode, &HeaderMap) -> bool,
-    ) -> Relayed {
+    ) -> RelayOutcome {
         let (flight, dialect) = (Flight::new(call), self.dialect.borrow().clone());
         let exchanging = exchange(&self.pool, to, call, Some(limit), &dialect, &flight);
         let ended = match timeout(Duration::from_micros(limit), exchanging).await {
             Ok(ended) => ended,
             // Its connection is closed by now: nothing more is written.
-            Err(_) if flight.may_have_run() => return Relayed::Broken(Outcome::TimedOut),
-            Err(_) => return Relayed::NotSent,
+            Err(_) if flight.may_have_run() => return RelayOutcome::Broken(Outcome::TimedOut),
+            Err(_) => return RelayOutcome::NotSent,
         };
         let Some(mut reply) = ended.reply else {
-            return if ended.outcome.never_ran() { Relayed::NotSent } else { Relayed::Broken(ended.outcome) };
+            return if ended.outcome.never_ran() {
+                RelayOutcome::NotSent
+            } else {
+                RelayOutcome::Broken(ended.outcome)
+            };
         };
         if !right(reply.status, &reply.headers) {
-            return Relayed::Broken(Outcome::Error);
+            return RelayOutcome::Broken(Outcome::Error);
         }
         let pool = self.pool.clone();
-        if let Payload::Passing(passing) = &mut reply.body {
+        if let Payload::Streaming(passing) = &mut reply.body {
             let conn = ended.passing;
-            passing.at_end(move |end| {
-                if let (End::Whole, Some(conn)) = (end, conn) {
+            passing.on_end(move |end| {
+                if let (BodyEnd::Complete, Some(conn)) = (end, conn) {
                     spawn_local(async move { put_when_ready(&pool, to.server, conn).await });
                 }
             });
         } else if let Some(conn) = ended.conn {
             spawn_local(async move { put_when_ready(&pool, to.server, conn).await });
         }
-        Relayed::Answered(reply)
+        RelayOutcome::Answered(reply)
     }
 
     /// Asks an upstream how it is.
     pub fn probe(&self, to: Target, told: impl FnOnce(Duration, Outcome, Option<Load>) + 'static) {
         let (pool, dialect) = (self.pool.clone(), self.dialect.borrow().clone());
         let uri = Uri::from_static("/health/live");
-        let call =
-            Call { method: Method::GET, uri, headers: HeaderMap::new(), body: Sent::Whole(Bytes::new()) };
+        let call = Call {
+            method: Method::GET,
+            uri,
+            headers: HeaderMap::new(),
+            body: RequestBody::Buffered(Bytes::new()),
+        };
         spawn_local(async move {
             let (flight, start) = (Flight::new(&call), Instant::now());
             let ended = timeout(CONNECT_UNTOLD, exchange(&pool, to, &call, None, &dialect, &flight)).await;
@@ -351,7 +359,7 @@
     to: Target,
     call: &Call,
     limit: Option<Micros>,
-    dialect: &Dialect,
+    dialect: &UpstreamProtocol,
     flight: &Flight,
 ) -> Exchanged {
     let start = Instant::now();
@@ -390,25 +398,30 @@
     report: AttemptReport<W>,
 ) {
     let opening = report.response_start();
-    if let Payload::Passing(passing) = &mut reply.body {
-        passing.at_end(move |end| match end {
-            End::Whole => {
+    if let Payload::Streaming(passing) = &mut reply.body {
+        passing.on_end(move |end| match end {
+            BodyEnd::Complete => {
                 report.end(Outcome::Ok, load, None);
                 spawn_local(async move { put_when_ready(&pool, server, conn).await });
             }
             // With the connection, which is dropped here: nothing more is to come on it.
-            End::Broken => report.end(Outcome::Reset, load, None),
-            End::Left => report.end(Outcome::Cancelled, load, None),
+            BodyEnd::Failed => report.end(Outcome::Reset, load, None),
+            BodyEnd::Abandoned => report.end(Outcome::Cancelled, load, None),
         });
     }
     opening.begin(reply);
 }
 
 /// Reads an answer as far as it is held and tells what it means; the connection is kept only if it was read whole.
-async fn read(response: Response<Incoming>, conn: Conn, dialect: &Dialect, number: u64) -> Exchanged {
+async fn read(
+    response: Response<Incoming>,
+    conn: Conn,
+    dialect: &UpstreamProtocol,
+    number: u64,
+) -> Exchanged {
     let (mut head, mut body) = response.into_parts();
     // Guards against an answer that belongs to another attempt: it says nothing of this one, and its connection is closed.
-    if let Some(name) = &dialect.echo
+    if let Some(name) = &dialect.echo_header
         && head.headers.remove(name) != Some(HeaderValue::from(number))
     {
         return Outcome::Reset.into();
@@ -416,8 +429,8 @@
     let declined = dialect.declines(head.status, &head.headers);
     let load = head.headers.get("srv-load").and_then(|v| v.to_str().ok()).map(load);
     let served = !declined && dialect.served(head.status);
-    let (exact, most) = (body.size_hint().exact(), dialect.most_answer as u64);
-    let long = exact.is_some_and(|length| length > dialect.held as u64);
+    let (exact, most) = (body.size_hint().exact(), dialect.max_response_bytes as u64);
+    let long = exact.is_some_and(|length| length > dialect.max_buffered_bytes as u64);
     // Guards against an answer that is not what it seems: spoilt, it proves nothing, its mark neither.
     let spoilt = Exchanged { load, ..Outcome::Reset.into() };
     if exact.is_some_and(|length| length > most) || (long && !served) {
@@ -430,12 +443,12 @@
         let Ok(data) = frame.into_data() else { continue };
         length += data.len();
         held.push(data);
-        if length > dialect.held || long {
+        if length > dialect.max_buffered_bytes || long {
             if !served || length as u64 > most {
                 return spoilt;
             }
-            let passing = Passing::new(joined(held), body, most - length as u64);
-            let (status, headers, body) = (head.status, head.headers, Payload::Passing(Box::new(passing)));
+            let passing = StreamingBody::new(joined(held), body, most - length as u64);
+            let (status, headers, body) = (head.status, head.headers, Payload::Streaming(Box::new(passing)));
             let reply = Some(Reply { status, headers, body });
             return Exchanged { load, reply, passing: Some(conn), ..Outcome::Ok.into() };
         }
@@ -446,7 +459,7 @@
             let body = joined(held).into();
             (Outcome::Ok, Some(Reply { status, headers: head.headers, body }))
         }
-        status if dialect.errors && status.is_server_error() => {
+        status if dialect.forwards_errors && status.is_server_error() => {
             let body = joined(held).into();
             (Outcome::Error, Some(Reply { status, headers: head.headers, body }))
         }
@@ -506,20 +519,21 @@
             let settings = fs::Settings::new(Vec::new());
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let to = Target { server: 0, address: listener.local_addr().expect("an address") };
-            let upstreams = Upstreams::new(&settings.limits, Share::standalone(most), Dialect::platform());
+            let upstreams =
+                Upstreams::new(&settings.limits, Share::standalone(most), UpstreamProtocol::platform());
             test(upstreams, listener, to).await;
         });
     }
 
     fn call() -> Call {
-        let (uri, body) = (Uri::from_static("/api"), Sent::Whole(Bytes::new()));
+        let (uri, body) = (Uri::from_static("/api"), RequestBody::Buffered(Bytes::new()));
         Call { method: Method::GET, uri, headers: HeaderMap::new(), body }
     }
 
     /// One exchange, on a new connection if `accept`; the peer's end of it and how it ended.
     async fn once(upstreams: &Upstreams, listener: &TcpListener, to: Target) -> (TcpStream, Outcome) {
         let (call, pool) = (call(), &upstreams.pool);
-        let (flight, dialect) = (Flight::new(&call), Dialect::platform());
+        let (flight, dialect) = (Flight::new(&call), UpstreamProtocol::platform());
         let peer = async {
             let (mut stream, _) = listener.accept().await.expect("a connection");
             serve(&mut stream).await;
@@ -573,7 +587,8 @@
             drop(listener);
             let call = call();
             let flight = Flight::new(&call);
-            let ended = exchange(&upstreams.pool, to, &call, None, &Dialect::platform(), &flight).await;
+            let ended =
+                exchange(&upstreams.pool, to, &call, None, &UpstreamProtocol::platform(), &flight).await;
             assert_eq!(ended.outcome, Outcome::ConnectFailed);
             assert!(!flight.may_have_run());
         });
@@ -583,8 +598,12 @@
     fn a_request_that_is_not_written_to_its_end_has_not_run() {
         with(9, async |upstreams, listener, to| {
             // More than the sockets' buffers take of a peer that does not read.
-            let call = Call { method: Method::POST, body: Sent::Whole(vec![0; 32 << 20].into()), ..call() };
-            let (flight, dialect) = (Flight::new(&call), Dialect::platform());
+            let call = Call {
+                method: Method::POST,
+                body: RequestBody::Buffered(vec![0; 32 << 20].into()),
+                ..call()
+            };
+            let (flight, dialect) = (Flight::new(&call), UpstreamProtocol::platform());
             let peer = async {
                 let (mut stream, _) = listener.accept().await.expect("a connection");
                 stream.read_u8().await.expect("a beginning");
--- a/http/tests/admission.rs
+++ b/http/tests/admission.rs
@@ -11,8 +11,8 @@
 use hyper::{Request, StatusCode};
 use sloeline_engine::engine::{AttemptReport, Engine, Transport};
 use sloeline_engine::types::{DiscoveryEntry, Target};
-use sloeline_http::front::{Admission, Front};
-use sloeline_http::routed::{ClassOf, Pool, Routed, Routes, Service, Side, Source};
+use sloeline_http::frontend::{Admission, Frontend};
+use sloeline_http::routed::{Pool, RouteClass, RoutePool, RoutedFrontend, Routes, Service, Source};
 use sloeline_http::upstream::{Call, Reply};
 use sloeline_limits::Share;
 use sloeline_routing::pattern::{HostPattern, PathPattern, Route};
@@ -73,13 +73,13 @@
         name: name.to_owned(),
         engine,
         tenants: RefCell::new(HashMap::from([("gold".to_owned(), 0), ("tin".to_owned(), 1)])),
-        open: Share::standalone(open),
-        bound: Default::default(),
-        fleet: Default::default(),
-        bodies: Share::standalone(1 << 20),
-        most_answer: Cell::new(4096),
+        open_requests: Share::standalone(open),
+        operator_limit: Default::default(),
+        fleet_limit: Default::default(),
+        body_memory: Share::standalone(1 << 20),
+        response_reservation_bytes: Cell::new(4096),
         admitted: Rc::default(),
-        held: oneshot::channel().0,
+        dropped_signal: oneshot::channel().0,
     })
 }
 
@@ -94,28 +94,28 @@
 }
 
 fn service(pools: &[&Rc<Pool<Deaf>>]) -> Service<Deaf> {
-    let of = |name: &str, effect| ClassOf { name: name.to_owned(), effect, deadline: 4 * SECOND };
-    let side = |pool: &&Rc<Pool<Deaf>>| Side { pool: (*pool).clone(), classes: vec![Some(0), Some(1)] };
+    let of = |name: &str, effect| RouteClass { name: name.to_owned(), effect, deadline: 4 * SECOND };
+    let side = |pool: &&Rc<Pool<Deaf>>| RoutePool { pool: (*pool).clone(), classes: vec![Some(0), Some(1)] };
     Service {
-        sides: pools.iter().map(side).collect(),
+        route_pools: pools.iter().map(side).collect(),
         split: None,
         classes: vec![of("look", Effect::Safe), of("pull", KEYED)],
         class_header: Some("x-class".parse().expect("a name")),
         tenant: Some(Source::Header("x-tenant".parse().expect("a name"))),
         key: Some(Source::Header("idempotency-key".parse().expect("a name"))),
-        most_body: 2048,
+        max_body_bytes: 2048,
         described: None,
     }
 }
 
-fn front(services: Vec<(Route, Service<Deaf>)>) -> Routed<Deaf> {
+fn front(services: Vec<(Route, Service<Deaf>)>) -> RoutedFrontend<Deaf> {
     let (routes, services): (Vec<_>, Vec<_>) = services.into_iter().map(|(r, s)| (r, Rc::new(s))).unzip();
-    Routed::new(Routes {
+    RoutedFrontend::new(Routes {
         table: Table::new(routes),
         services,
         pools: Vec::new(),
         deadline_header: Some("x-wait".parse().expect("a name")),
-        strangers: Rc::default(),
+        unrouted_requests: Rc::default(),
     })
 }
 
@@ -127,7 +127,11 @@
     request.body(()).expect("a request").into_parts().0
 }
 
-fn admit(front: &Routed<Deaf>, path: &str, headers: &[(&str, &str)]) -> Result<Admission<Deaf>, StatusCode> {
+fn admit(
+    front: &RoutedFrontend<Deaf>,
+    path: &str,
+    headers: &[(&str, &str)],
+) -> Result<Admission<Deaf>, StatusCode> {
     let peer = SocketAddr::from(([127, 0, 0, 9], 9));
     front.admit(&head(path, headers), peer).map_err(|answer| answer.status())
 }
@@ -157,7 +161,7 @@
     let p = pool("p", 8);
     let mut short = service(&[&p]);
     short.classes[0].deadline = SECOND;
-    short.most_body = 10;
+    short.max_body_bytes = 10;
     let front = front(vec![(route("/a"), service(&[&p])), (route("/short"), short)]);
     let look = |path: &str, wait: Option<&str>| {
         let mut headers = vec![("x-class", "look")];
@@ -170,8 +174,8 @@
     assert_eq!(look("/a", Some("9000")).time_left, 4 * SECOND);
     assert_eq!(look("/short", Some("9000")).time_left, SECOND);
     assert_eq!(look("/a", Some("18446744073709551615")).time_left, 4 * SECOND);
-    assert_eq!((look("/a", None).most_body, look("/short", None).most_body), (2048, 10));
-    assert_eq!(look("/a", None).most_answer, 4096);
+    assert_eq!((look("/a", None).max_body_bytes, look("/short", None).max_body_bytes), (2048, 10));
+    assert_eq!(look("/a", None).response_reservation_bytes, 4096);
     for wrong in ["", "-1", "1.5", "1e3", " 1", "18446744073709551616"] {
         let answer = admit(&front, "/a", &[("x-class", "look"), ("x-wait", wrong)]);
         // An empty one says nothing.
@@ -206,10 +210,10 @@
         held.extend([once, again]);
     }
     assert!(sides.iter().all(|n| *n > 5), "{sides:?}");
-    assert_eq!((p.open.used(), q.open.used()), (2 * sides[0], 2 * sides[1]));
-    assert!(p.uses(0) && !p.uses(1));
+    assert_eq!((p.open_requests.used(), q.open_requests.used()), (2 * sides[0], 2 * sides[1]));
+    assert!(p.uses_class(0) && !p.uses_class(1));
     drop(held);
-    assert_eq!((p.open.used(), q.open.used(), p.uses(0)), (0, 0, false));
+    assert_eq!((p.open_requests.used(), q.open_requests.used(), p.uses_class(0)), (0, 0, false));
 }
 
 #[test]
--- a/mesh/data-plane/src/answers.rs
+++ b/mesh/data-plane/src/answers.rs
@@ -4,7 +4,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::StatusCode;
 use hyper::header::{HeaderName, HeaderValue, RETRY_AFTER};
-use sloeline_http::front::{Answered, end_to_end, plain};
+use sloeline_http::frontend::{ClientResponse, end_to_end_headers, text_response};
 use sloeline_http::payload::Payload;
 use sloeline_http::upstream::Reply;
 use sloeline_idempotency::StoredResponse;
@@ -16,8 +16,8 @@
 const MOST_KEPT: usize = 64 << 10;
 
 /// It never ran and never will: the near balancer may go elsewhere at once.
-pub(crate) fn not_run(status: StatusCode, why: &'static str, room_in: Option<Micros>) -> Answered {
-    let mut answer = plain(status, why);
+pub(crate) fn not_run(status: StatusCode, why: &'static str, room_in: Option<Micros>) -> ClientResponse {
+    let mut answer = text_response(status, why);
     let headers = answer.headers_mut();
     headers.insert(header_names::NOT_RUN, HeaderValue::from_static("1"));
     if let Some(room_in) = room_in {
@@ -30,18 +30,18 @@
 }
 
 /// An answer as it is passed back.
-pub(crate) fn passed(reply: Reply) -> Answered {
-    let mut answer = Answered::new(reply.body);
+pub(crate) fn passed(reply: Reply) -> ClientResponse {
+    let mut answer = ClientResponse::new(reply.body);
     *answer.status_mut() = reply.status;
-    *answer.headers_mut() = end_to_end(&reply.headers);
+    *answer.headers_mut() = end_to_end_headers(&reply.headers);
     answer
 }
 
 /// Reads an answer to its end: what is passed back, and what is kept for repeats where it is small enough.
-pub(crate) async fn whole(reply: Reply) -> Result<(Answered, Option<StoredResponse>), Answered> {
-    let (status, headers) = (reply.status, end_to_end(&reply.headers));
+pub(crate) async fn whole(reply: Reply) -> Result<(ClientResponse, Option<StoredResponse>), ClientResponse> {
+    let (status, headers) = (reply.status, end_to_end_headers(&reply.headers));
     let Ok(body) = reply.body.collect().await else {
-        return Err(plain(StatusCode::BAD_GATEWAY, "the upstream broke off"));
+        return Err(text_response(StatusCode::BAD_GATEWAY, "the upstream broke off"));
     };
     let body = body.to_bytes();
     let named = |(name, value): (&HeaderName, &HeaderValue)| {
@@ -52,15 +52,15 @@
         headers: headers.iter().map(named).collect(),
         body: body.clone(),
     });
-    let mut answer = Answered::new(Payload::Whole(Full::new(body)));
+    let mut answer = ClientResponse::new(Payload::Buffered(Full::new(body)));
     *answer.status_mut() = status;
     *answer.headers_mut() = headers;
     Ok((answer, kept))
 }
 
 /// The first answer, for a repeat.
-pub(crate) fn again(kept: StoredResponse, id: Option<HeaderValue>) -> Answered {
-    let mut answer = Answered::new(Payload::Whole(Full::new(kept.body)));
+pub(crate) fn again(kept: StoredResponse, id: Option<HeaderValue>) -> ClientResponse {
+    let mut answer = ClientResponse::new(Payload::Buffered(Full::new(kept.body)));
     *answer.status_mut() = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let headers = answer.headers_mut();
     for (name, value) in kept.headers {
--- a/mesh/data-plane/src/front.rs
+++ b/mesh/data-plane/src/front.rs
@@ -10,7 +10,9 @@
 use hyper::http::request::Parts;
 use sloeline_discovery::rendezvous::weight;
 use sloeline_engine::clock::Clock;
-use sloeline_http::front::{Admission, Answered, Front, end_to_end, number, plain};
+use sloeline_http::frontend::{
+    Admission, ClientResponse, Frontend, end_to_end_headers, parse_digits, text_response,
+};
 use sloeline_idempotency::MAX_KEY_BYTES;
 use sloeline_limits::Share;
 use sloeline_route_config::model::RouteKind;
@@ -75,34 +77,34 @@
 fn once<'a>(
     headers: &'a HeaderMap,
     name: &hyper::header::HeaderName,
-) -> Result<Option<&'a HeaderValue>, Answered> {
+) -> Result<Option<&'a HeaderValue>, ClientResponse> {
     let mut all = headers.get_all(name).iter();
     match (all.next(), all.next()) {
         (found, None) => Ok(found),
-        _ => Err(plain(StatusCode::BAD_REQUEST, format!("{name} stands twice"))),
+        _ => Err(text_response(StatusCode::BAD_REQUEST, format!("{name} stands twice"))),
     }
 }
 
 /// Never run, and never will.
-fn refused(why: &'static str) -> Answered {
-    let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE, why);
+fn refused(why: &'static str) -> ClientResponse {
+    let mut answer = text_response(StatusCode::SERVICE_UNAVAILABLE, why);
     answer.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static(AGAIN));
     answer
 }
 
-impl Front for Outgoing {
-    type Wire = Rails;
+impl Frontend for Outgoing {
+    type EngineTransport = Rails;
 
-    fn admit(&self, head: &Parts, _peer: SocketAddr) -> Result<Admission<Rails>, Answered> {
+    fn admit(&self, head: &Parts, _peer: SocketAddr) -> Result<Admission<Rails>, ClientResponse> {
         let Some(routes) = self.routes.borrow().clone() else { return Err(refused("no configuration yet")) };
-        let bad = |why: &'static str| plain(StatusCode::BAD_REQUEST, why);
+        let bad = |why: &'static str| text_response(StatusCode::BAD_REQUEST, why);
         let host = once(&head.headers, &HOST)?.and_then(|h| h.to_str().ok()).ok_or_else(|| bad("no Host"))?;
         let path = head.uri.path_and_query().cloned().ok_or_else(|| bad("no path"))?;
         let found = routes.table.find(host, path.path());
         let Some((route, lead)) =
             found.and_then(|at| Some((&routes.table.routes()[at], routes.leads.get(at)?)))
         else {
-            return Err(plain(StatusCode::NOT_FOUND, "no such route"));
+            return Err(text_response(StatusCode::NOT_FOUND, "no such route"));
         };
         let id = once(&head.headers, &header_names::TRY_ID)?;
         let keyed = route.route_kind == RouteKind::Tracked;
@@ -116,7 +118,7 @@
         let waits = match once(&head.headers, &header_names::TIME_LEFT)? {
             None => Micros::MAX,
             Some(value) => {
-                let millis = value.to_str().ok().and_then(number);
+                let millis = value.to_str().ok().and_then(parse_digits);
                 millis.ok_or_else(|| bad("X-Time-Left is no number"))?.saturating_mul(1000)
             }
         };
@@ -135,7 +137,7 @@
         if service.engine.ready_upstreams() == 0 {
             return Err(refused("no upstream"));
         }
-        let mut headers = end_to_end(&head.headers);
+        let mut headers = end_to_end_headers(&head.headers);
         for own in [
             header_names::ADDRESSEE,
             header_names::SENDER,
@@ -178,17 +180,17 @@
             time_left,
             tenant: None,
             work: None,
-            retry: false,
+            is_retry: false,
             method: head.method.clone(),
             uri: path.into(),
             headers,
-            most_body: routes.table.limits().body_bytes.min(usize::MAX as u64) as usize,
-            most_answer: MOST_HELD,
-            bodiless: false,
-            id: None,
-            bodies: self.bodies.clone(),
-            witness: None,
-            held: Some(Box::new(service.admitted.hold(*class))),
+            max_body_bytes: routes.table.limits().body_bytes.min(usize::MAX as u64) as usize,
+            response_reservation_bytes: MOST_HELD,
+            forbids_body: false,
+            request_id: None,
+            body_memory: self.bodies.clone(),
+            observer: None,
+            guard: Some(Box::new(service.admitted.count(*class))),
         })
     }
 
--- a/mesh/data-plane/src/program.rs
+++ b/mesh/data-plane/src/program.rs
@@ -16,9 +16,9 @@
 use sloeline_admin_http::reload::{self, SettingsWatch};
 use sloeline_discovery::{Record, Version};
 use sloeline_engine::clock::Clock;
-use sloeline_http::callers::{Callers, Phase, Room};
-use sloeline_http::gate::Pace;
-use sloeline_http::upstream::{Dialect, Upstreams};
+use sloeline_http::client_io::StageTimeouts;
+use sloeline_http::server::{HttpServer, Phase, ServerLimits};
+use sloeline_http::upstream::{UpstreamProtocol, Upstreams};
 use sloeline_idempotency::Ledger;
 use sloeline_limits::Share;
 use sloeline_process_settings::Settings;
@@ -86,15 +86,19 @@
 }
 
 /// What callers may take up.
-fn room(places: usize, limits: SizeLimits, grace: Duration) -> Room {
-    let pace = Pace { idle: limits.idle.duration(), head: limits.header.duration(), ..Pace::default() };
+fn room(places: usize, limits: SizeLimits, grace: Duration) -> ServerLimits {
+    let pace = StageTimeouts {
+        idle: limits.idle.duration(),
+        head: limits.header.duration(),
+        ..StageTimeouts::default()
+    };
     let leave_within = grace.saturating_sub(MARGIN);
-    Room {
-        places,
-        pace,
+    ServerLimits {
+        max_connections: places,
+        timeouts: pace,
         ready_path: "/-/ready".to_owned(),
-        leave_within,
-        still_taken: STILL.min(leave_within),
+        drain_timeout: leave_within,
+        accept_after_stop: STILL.min(leave_within),
     }
 }
 
@@ -122,19 +126,19 @@
     let connections = Share::standalone(connections);
 
     let keys = Keys::new(settings.node_name.clone());
-    let dialect = Dialect {
-        deadline: Some(header_names::TIME_LEFT),
-        only_ok: false,
-        declined: None,
-        most_answer: 1 << 30,
-        held: HELD,
-        forwards: true,
-        errors: false,
-        echo: None,
+    let dialect = UpstreamProtocol {
+        deadline_header: Some(header_names::TIME_LEFT),
+        only_200: false,
+        declined_mark: None,
+        max_response_bytes: 1 << 30,
+        max_buffered_bytes: HELD,
+        forwards_any_status: true,
+        forwards_errors: false,
+        echo_header: None,
     };
     let limits = fs::Limits { idle_close: 8_000_000, ..fs::Settings::new(Vec::new()).limits };
     let to_upstream = Upstreams::new(&limits, connections.clone(), dialect);
-    spawn_local(to_upstream.tend());
+    spawn_local(to_upstream.close_expired());
     let window = guarantees.key_window.millis() + LEDGER_LONGER;
     let ledger = Ledger::new(window, (memory * ANSWERS) as usize);
     let link = LinkShaper::new(settings.size_limits.link_mbps);
@@ -146,7 +150,7 @@
     let clock = Rc::new(Clock::new());
     let (phases, phase) = watch::channel(Phase::Running);
     let first = room(places, SizeLimits::default(), guarantees.grace.duration());
-    let callers = Callers::new(Outgoing::new(sender, bodies, clock.clone()), first, phase);
+    let callers = HttpServer::new(Outgoing::new(sender, bodies, clock.clone()), first, phase);
 
     let mesh = TcpListener::bind(settings.mesh_bind_address()).await.context("listen for the mesh")?;
     let incoming = listen("incoming", settings.listen_addrs.incoming).await?;
@@ -161,7 +165,7 @@
     spawn_local(control::serve(readiness, 1024, {
         let callers = callers.clone();
         move |call, _| {
-            let ready = call.path == "/-/ready" && callers.front().is_ready();
+            let ready = call.path == "/-/ready" && callers.frontend().is_ready();
             async move {
                 match ready {
                     true => text_response(StatusCode::OK, "ready"),
@@ -202,7 +206,7 @@
     let stopping = async {
         let _ = stop.recv().await;
         info!(target: "stop", "Told to stop.");
-        callers.front().set_ready(false);
+        callers.frontend().set_ready(false);
         exchange.update_local_record(|own| own.leaving = true);
         let _ = phases.send(Phase::Stopping);
         Instant::now()
@@ -210,7 +214,7 @@
     let ((), ordered) = tokio::join!(accepting, stopping);
     let until = ordered + guarantees.grace.duration().saturating_sub(MARGIN);
     let rest = async {
-        callers.closed().await;
+        callers.wait_closed().await;
         while !receiver.is_idle() {
             sleep(Duration::from_millis(20)).await;
         }
@@ -273,7 +277,7 @@
 async fn follow(
     follow: Follow,
     exchange: Rc<Exchange>,
-    callers: Rc<Callers<Outgoing>>,
+    callers: Rc<HttpServer<Outgoing>>,
     ground: Ground,
     places: usize,
     grace: Duration,
@@ -297,8 +301,8 @@
                         Ok(leads) => {
                             metrics::VERSION_IN_FORCE.set(config.edition.into());
                             info!(target: "routes", "Configuration {:08x} is in force.", config.edition);
-                            callers.front().swap(Routes { table, leads });
-                            callers.resize(room(places, limits, grace));
+                            callers.frontend().swap(Routes { table, leads });
+                            callers.set_limits(room(places, limits, grace));
                         }
                         Err(why) => warn!(target: "routes", "Not in force: {why:#}."),
                     }
@@ -310,7 +314,7 @@
         services.list(&records);
         let leaving = exchange.local_record().leaving;
         services.set_cutting(!leaving && follow.age() > (grace + AFTER_GRACE).saturating_sub(STILL));
-        callers.front().set_ready(!leaving && planned.is_some() && services.listed() && follow.reached());
+        callers.frontend().set_ready(!leaving && planned.is_some() && services.listed() && follow.reached());
         tokio::select! {
             changed = changes.changed() => if changed.is_err() { return },
             () = sleep(CHOOSE) => {}
--- a/mesh/data-plane/src/receive.rs
+++ b/mesh/data-plane/src/receive.rs
@@ -19,10 +19,10 @@
 use sloeline_discovery::Condition;
 use sloeline_discovery::rendezvous::top_candidates;
 use sloeline_engine::types::Target;
-use sloeline_http::front::{Answered, end_to_end, number, plain};
+use sloeline_http::frontend::{ClientResponse, end_to_end_headers, parse_digits, text_response};
 use sloeline_http::payload::Payload;
-use sloeline_http::upload::Sent;
-use sloeline_http::upstream::{Call, Relayed, Reply, Upstreams};
+use sloeline_http::upload::RequestBody;
+use sloeline_http::upstream::{Call, RelayOutcome, Reply, Upstreams};
 use sloeline_idempotency::{ClaimOutcome, Entry, Ledger, StoredResponse};
 use sloeline_rpc::RpcResponse;
 use sloeline_rpc::exchange::Exchange;
@@ -256,18 +256,21 @@
         answer.map(|body| ShapedBody::new(body, link))
     }
 
-    async fn respond(self: Rc<Self>, request: Request<Incoming>) -> Answered {
+    async fn respond(self: Rc<Self>, request: Request<Incoming>) -> ClientResponse {
         let came = self.now();
         let (head, body) = request.into_parts();
         let text = |name: &HeaderName| head.headers.get(name).and_then(|v| v.to_str().ok());
-        let left =
-            text(&header_names::TIME_LEFT).and_then(number).map_or(LONGEST, |ms| ms.saturating_mul(1000));
+        let left = text(&header_names::TIME_LEFT)
+            .and_then(parse_digits)
+            .map_or(LONGEST, |ms| ms.saturating_mul(1000));
         let until = came + left.min(LONGEST);
         let time_to_target =
-            text(&header_names::AIM).and_then(number).map_or(left, |ms| ms.saturating_mul(1000));
-        let limit =
-            text(&header_names::LIMIT).and_then(number).map_or(left, |ms| ms.saturating_mul(1000).min(left));
-        let max_wait = text(&header_names::HOLD).and_then(number).map_or(limit, |ms| ms.saturating_mul(1000));
+            text(&header_names::AIM).and_then(parse_digits).map_or(left, |ms| ms.saturating_mul(1000));
+        let limit = text(&header_names::LIMIT)
+            .and_then(parse_digits)
+            .map_or(left, |ms| ms.saturating_mul(1000).min(left));
+        let max_wait =
+            text(&header_names::HOLD).and_then(parse_digits).map_or(limit, |ms| ms.saturating_mul(1000));
         let priority =
             text(&header_names::RANK).and_then(|priority| priority.parse().ok()).unwrap_or(u8::MAX);
         let kind = kind(&head.headers);
@@ -296,7 +299,7 @@
         let key =
             head.headers.get(header_names::KEYED).and_then(|_| head.headers.get(header_names::OPERATION_KEY));
         let key = key.map(|k| Bytes::copy_from_slice(k.as_bytes()));
-        let mut headers = end_to_end(&head.headers);
+        let mut headers = end_to_end_headers(&head.headers);
         for own in [
             header_names::KEYED,
             header_names::KIND,
@@ -314,7 +317,7 @@
         }
         debug_assert!(headers.contains_key(HOST));
         let uri: Uri = head.uri.path_and_query().cloned().map_or_else(Uri::default, Uri::from);
-        let (method, body): (Method, _) = (head.method.clone(), Sent::Whole(body.to_bytes()));
+        let (method, body): (Method, _) = (head.method.clone(), RequestBody::Buffered(body.to_bytes()));
         let call = Call { method, uri, headers, body };
         let target = Target { server: 0, address };
         let try_id = head.headers.get(header_names::TRY_ID).cloned();
@@ -330,7 +333,7 @@
                     let answer = self.keyed(going, key).await;
                     let _ = sender.send(answer);
                 });
-                answer.await.unwrap_or_else(|_| plain(StatusCode::BAD_GATEWAY, "the run broke off"))
+                answer.await.unwrap_or_else(|_| text_response(StatusCode::BAD_GATEWAY, "the run broke off"))
             }
         }
     }
@@ -342,7 +345,7 @@
     }
 
     /// A place with the upstream, or the answer where there is none.
-    async fn place(self: &Rc<Self>, arrival: Arrival, came: Micros) -> Result<Place, Answered> {
+    async fn place(self: &Rc<Self>, arrival: Arrival, came: Micros) -> Result<Place, ClientResponse> {
         let now = self.now();
         let age = now.saturating_sub(came);
         let [time_to_target, time_left, max_wait] =
@@ -401,32 +404,32 @@
             whose && (!status.is_success() || headers.contains_key(header_names::POSTMARK))
         };
         match self.upstreams.relay(going.target, &going.call, left, right).await {
-            Relayed::NotSent => {
+            RelayOutcome::NotSent => {
                 // The upstream is gone, or takes no more connections: its next beat tells.
                 if self.beats(|b| b.unreachable(&going.upstream)) {
                     debug!(target: "upstream", "{} can't be reached.", going.upstream);
                 }
                 Ran::Not(not_run(StatusCode::SERVICE_UNAVAILABLE, "the upstream can't be reached", None))
             }
-            Relayed::Broken(why) => {
+            RelayOutcome::Broken(why) => {
                 debug!(target: "upstream", "{} broke off: {why:?}.", going.upstream);
-                Ran::Unknown(plain(StatusCode::BAD_GATEWAY, "the upstream broke off"))
+                Ran::Unknown(text_response(StatusCode::BAD_GATEWAY, "the upstream broke off"))
             }
-            Relayed::Answered(reply) if reply.status == StatusCode::MISDIRECTED_REQUEST => {
+            RelayOutcome::Answered(reply) if reply.status == StatusCode::MISDIRECTED_REQUEST => {
                 drop(reply);
                 Ran::Not(not_run(StatusCode::MISDIRECTED_REQUEST, "another upstream is here", None))
             }
-            Relayed::Answered(reply) if reply.headers.contains_key(header_names::NOT_RUN) => {
+            RelayOutcome::Answered(reply) if reply.headers.contains_key(header_names::NOT_RUN) => {
                 Ran::Not(not_run(StatusCode::SERVICE_UNAVAILABLE, "the upstream is full", None))
             }
-            Relayed::Answered(mut reply) => {
+            RelayOutcome::Answered(mut reply) => {
                 place.done();
                 if let (true, Some(length)) = (reply.status.is_success(), reply.body.size_hint().exact()) {
                     self.lengths.borrow_mut().learn(going.arrival.kind, length);
                 }
-                if let Payload::Passing(passing) = &mut reply.body {
+                if let Payload::Streaming(passing) = &mut reply.body {
                     let (receiver, begun) = (self.clone(), self.now());
-                    passing.at_end(move |_| {
+                    passing.on_end(move |_| {
                         metrics::GATE_HELD_PASSING.add(receiver.now().saturating_sub(begun));
                         drop(place);
                     });
@@ -437,7 +440,7 @@
     }
 
     /// Forwards what must not run again: once it is with its upstream it is not broken off, whoever still waits for it.
-    async fn forward_once(self: Rc<Self>, going: Going) -> Answered {
+    async fn forward_once(self: Rc<Self>, going: Going) -> ClientResponse {
         let place = match self.place(going.arrival, going.came).await {
             Ok(place) => place,
             Err(answer) => return answer,
@@ -450,10 +453,10 @@
             };
             let _ = sender.send(answer);
         });
-        answer.await.unwrap_or_else(|_| plain(StatusCode::BAD_GATEWAY, "the run broke off"))
+        answer.await.unwrap_or_else(|_| text_response(StatusCode::BAD_GATEWAY, "the run broke off"))
     }
 
-    async fn forward(self: Rc<Self>, going: Going) -> Answered {
+    async fn forward(self: Rc<Self>, going: Going) -> ClientResponse {
         let place = match self.place(going.arrival, going.came).await {
             Ok(place) => place,
             Err(answer) => return answer,
@@ -496,7 +499,7 @@
     }
 
     /// The answer to a repeat.
-    async fn repeat(&self, key: &Bytes, run: u64, holder: &str, id: Option<HeaderValue>) -> Answered {
+    async fn repeat(&self, key: &Bytes, run: u64, holder: &str, id: Option<HeaderValue>) -> ClientResponse {
         let me = self.exchange.local_record();
         let mut told = self.recalled(key, run);
         let mut ask = Vec::new();
@@ -511,16 +514,16 @@
             told = self.keys.recall(mesh, key, run).await.ok();
         }
         match told {
-            Some(RpcResponse::RunInProgress) => plain(StatusCode::CONFLICT, "this key is at work"),
+            Some(RpcResponse::RunInProgress) => text_response(StatusCode::CONFLICT, "this key is at work"),
             Some(RpcResponse::RunFinished(Some(answer))) => again(answer, id),
             _ => {
                 debug!(target: "repeat", "The answer to a run of {holder} is lost.");
-                plain(StatusCode::BAD_GATEWAY, "it ran or may have run, and its answer is lost")
+                text_response(StatusCode::BAD_GATEWAY, "it ran or may have run, and its answer is lost")
             }
         }
     }
 
-    async fn keyed(self: Rc<Self>, going: Going, key: Bytes) -> Answered {
+    async fn keyed(self: Rc<Self>, going: Going, key: Bytes) -> ClientResponse {
         let known = self.ledger.borrow().get(&key).map(|(run, _)| *run);
         if let Some(run) = known {
             let own = self.exchange.local_record().source;
@@ -578,9 +581,9 @@
 /// How a run went.
 enum Ran {
     /// It never ran.
-    Not(Answered),
+    Not(ClientResponse),
     /// It may have run.
-    Unknown(Answered),
+    Unknown(ClientResponse),
     /// It ran.
     Answered(Reply),
 }
--- a/mesh/data-plane/src/services.rs
+++ b/mesh/data-plane/src/services.rs
@@ -16,8 +16,8 @@
 use sloeline_engine::engine::{AttemptReport, Engine, Transport};
 use sloeline_engine::slots::{ClassSlot, assign};
 use sloeline_engine::types::{DiscoveryEntry, Target};
-use sloeline_http::front::{Admitted, number};
-use sloeline_http::upstream::{Attempt, Call, Dialect, Reply, Upstreams};
+use sloeline_http::frontend::{Admitted, parse_digits};
+use sloeline_http::upstream::{Attempt, Call, Reply, UpstreamProtocol, Upstreams};
 use sloeline_limits::Share;
 use sloeline_route_config::model::{Route, RouteKind};
 use sloeline_route_config::table::Table;
@@ -66,7 +66,7 @@
         // Moments as the other has them: its clock is not this one's. An upstream is told all of the client's time, and the
         // attempt ends from this side: whoever is told to stop may then leave it the rest.
         for name in [header_names::AIM, header_names::TIME_LEFT, header_names::HOLD] {
-            let at = headers.get(&name).and_then(|v| v.to_str().ok()).and_then(number);
+            let at = headers.get(&name).and_then(|v| v.to_str().ok()).and_then(parse_digits);
             if let Some(at) = at {
                 headers.insert(name, HeaderValue::from(at.saturating_sub(self.clock.now()) / 1000));
             }
@@ -77,11 +77,11 @@
     }
 
     fn body_pending(&self, call: &Call) -> bool {
-        !call.body.has_come()
+        !call.body.is_received()
     }
 
     fn body_consumed(&self, call: &Call) -> bool {
-        call.body.spent()
+        call.body.is_consumed()
     }
 
     fn abort(&self, out: Attempt) -> bool {
@@ -145,17 +145,17 @@
     ClassSlot { name: format!("{kind:?}/{}/{aim}/{deadline}", route.precedence), class }
 }
 
-fn dialect() -> Dialect {
+fn dialect() -> UpstreamProtocol {
     let statuses = [503, 429, 421, 408, 400].into_iter().filter_map(|s| StatusCode::from_u16(s).ok());
-    Dialect {
-        deadline: Some(header_names::LIMIT),
-        only_ok: false,
-        declined: Some((header_names::NOT_RUN, HeaderValue::from_static("1"), statuses.collect())),
-        most_answer: MOST_ANSWER,
-        held: HELD,
-        forwards: false,
-        errors: true,
-        echo: Some(header_names::ATTEMPT),
+    UpstreamProtocol {
+        deadline_header: Some(header_names::LIMIT),
+        only_200: false,
+        declined_mark: Some((header_names::NOT_RUN, HeaderValue::from_static("1"), statuses.collect())),
+        max_response_bytes: MOST_ANSWER,
+        max_buffered_bytes: HELD,
+        forwards_any_status: false,
+        forwards_errors: true,
+        echo_header: Some(header_names::ATTEMPT),
     }
 }
 
@@ -215,7 +215,7 @@
             let group: Group = ((*line).to_owned(), group.clone());
             let service = self.by_group.get(&group);
             let old = service.map(|s| s.slots.borrow().clone()).unwrap_or_default();
-            let uses = |at| service.is_some_and(|s| s.admitted.any(at) || s.engine.class_in_use(at));
+            let uses = |at| service.is_some_and(|s| s.admitted.any_open(at) || s.engine.class_in_use(at));
             let assigned = assign(&old, slots, uses);
             for (slot, number) in slots.iter().zip(&assigned.class_ids) {
                 numbers.insert(((*line).to_owned(), slot.name.clone()), (group.clone(), *number));
@@ -332,7 +332,7 @@
     slots: Vec<ClassSlot>,
 ) -> Result<Service> {
     let upstreams = Upstreams::new(&settings.limits, ground.connections.clone(), dialect());
-    let tend = upstreams.tend();
+    let tend = upstreams.close_expired();
     let rails = Rails { upstreams, clock: ground.clock.clone(), behind: RefCell::default() };
     let engine =
         Engine::new(settings, zones, fastrand::u64(..), rails).map_err(|e| anyhow!("{name}: {e}"))?;
--- a/mesh/data-plane/tests/link_shaper.rs
+++ b/mesh/data-plane/tests/link_shaper.rs
@@ -26,7 +26,7 @@
 }
 
 fn body(link: &Rc<LinkShaper>, bytes: usize) -> ShapedBody {
-    ShapedBody::new(Payload::Whole(Full::new(Bytes::from(vec![1; bytes]))), link.clone())
+    ShapedBody::new(Payload::Buffered(Full::new(Bytes::from(vec![1; bytes]))), link.clone())
 }
 
 /// How long a long answer takes that has the link to itself.
--- a/sloeline/src/daemon.rs
+++ b/sloeline/src/daemon.rs
@@ -21,9 +21,9 @@
 use sloeline_events::hub::hub;
 use sloeline_events::tell;
 use sloeline_fleet::shell::Fleet;
-use sloeline_http::callers::{Callers, Phase, Room};
-use sloeline_http::gate::Pace;
-use sloeline_http::routed::Routed;
+use sloeline_http::client_io::StageTimeouts;
+use sloeline_http::routed::RoutedFrontend;
+use sloeline_http::server::{HttpServer, Phase, ServerLimits};
 use sloeline_limits::Reserve;
 use sloeline_membership::announce::Wanted;
 use sloeline_membership::announce::line::Announcement;
@@ -126,7 +126,7 @@
 struct Heard {
     name: String,
     address: SocketAddr,
-    callers: Rc<Callers<Routed<Net>>>,
+    callers: Rc<HttpServer<RoutedFrontend<Net>>>,
     phases: watch::Sender<Phase>,
     task: JoinHandle<()>,
     /// Resolves when its address is free again.
@@ -173,23 +173,23 @@
     Duration::from_micros(micros)
 }
 
-fn room(config: &Config, listener: &Listener, places: usize) -> Room {
+fn room(config: &Config, listener: &Listener, places: usize) -> ServerLimits {
     let longest = config.longest_deadline() + STOP_MARGIN;
     let leave_within = time(config.limits.stop_within.unwrap_or(longest));
-    Room {
-        places,
-        pace: Pace {
+    ServerLimits {
+        max_connections: places,
+        timeouts: StageTimeouts {
             idle: time(listener.idle_timeout),
             head: time(listener.head_timeout),
             body: time(listener.body_timeout),
-            rate: 0,
-            silence: time(listener.body_timeout),
-            stall: time(listener.idle_timeout),
-            stuck: time(listener.idle_timeout),
+            body_min_rate: 0,
+            body_silence: time(listener.body_timeout),
+            upstream_stall: time(listener.idle_timeout),
+            client_stall: time(listener.idle_timeout),
         },
         ready_path: listener.ready_path.clone(),
-        leave_within,
-        still_taken: STILL_TAKEN.min(leave_within / 2),
+        drain_timeout: leave_within,
+        accept_after_stop: STILL_TAKEN.min(leave_within / 2),
     }
 }
 
@@ -197,7 +197,7 @@
 struct ListenerPlan {
     name: String,
     wanted: Listener,
-    room: Room,
+    room: ServerLimits,
     /// Taken where the listener is new.
     socket: Option<TcpListener>,
     table: Table,
@@ -468,10 +468,10 @@
             let identity = identity(&name, wanted.address);
             let routes = self.routes(table, led, deadline_header, numbers);
             if let Some(mut heard) = gone.remove(&identity) {
-                if let Some(before) = heard.callers.front().replace(routes) {
+                if let Some(before) = heard.callers.frontend().replace_routes(routes) {
                     self.take_apart(before);
                 }
-                heard.callers.resize(room);
+                heard.callers.set_limits(room);
                 heard.name = name;
                 self.listeners.insert(identity, heard);
             } else if let Some(socket) = socket {
@@ -479,14 +479,14 @@
                 let instance = &self.config.instance.name;
                 tell!(LISTENING, listener = %name, address = %address; "sloeline {instance}: {name} listens on {address}");
                 let (phases, phase) = watch::channel(Phase::Running);
-                let callers = Callers::new(Routed::new(routes), room, phase);
+                let callers = HttpServer::new(RoutedFrontend::new(routes), room, phase);
                 let (freed, free) = oneshot::channel();
                 let task = spawn_local({
                     let (callers, phases) = (callers.clone(), phases.clone());
                     async move {
                         callers.accept(socket, &phases).await;
                         let _ = freed.send(());
-                        callers.closed().await;
+                        callers.wait_closed().await;
                     }
                 });
                 self.listeners.insert(identity, Heard { name, address, callers, phases, task, free });
--- a/sloeline/src/daemon/control.rs
+++ b/sloeline/src/daemon/control.rs
@@ -338,15 +338,15 @@
             .iter()
             .map(|(name, running)| {
                 let pool = &running.pool;
-                let (open, rate) = pool.bound.limits();
+                let (open, rate) = pool.operator_limit.limits();
                 json!({
                     "pool": name,
-                    "open_used_own_borrowed": share(&pool.open),
+                    "open_used_own_borrowed": share(&pool.open_requests),
                     "connections_used_own_borrowed": share(running.connections()),
-                    "bytes_used_own_borrowed": share(&pool.bodies),
+                    "bytes_used_own_borrowed": share(&pool.body_memory),
                     "limit_open": open,
                     "limit_rate": rate,
-                    "refused_by_limit": pool.bound.refused(),
+                    "refused_by_limit": pool.operator_limit.refused(),
                 })
             })
             .collect();
--- a/sloeline/src/daemon/fleet.rs
+++ b/sloeline/src/daemon/fleet.rs
@@ -274,7 +274,7 @@
         for (name, running) in &self.pools {
             let pool = &running.pool;
             let Some(may) = part.fleet.may(name) else { continue };
-            let (asked, now) = (pool.fleet.offered(), Instant::now());
+            let (asked, now) = (pool.fleet_limit.offered(), Instant::now());
             let share = part.shares.entry(name.clone()).or_insert(Share { asked, at: now, rate: 0.0 });
             let span = now.duration_since(share.at).as_secs_f64();
             if span > 0.0 {
@@ -283,7 +283,7 @@
                 (share.asked, share.at) = (asked, now);
             }
             part.fleet.wants(&name.as_str().into(), (AHEAD * share.rate).ceil() as u64 + 1);
-            pool.fleet.set(pool.engine.now(), None, Some(may as f64));
+            pool.fleet_limit.set(pool.engine.now(), None, Some(may as f64));
         }
     }
 
--- a/sloeline/src/daemon/orders.rs
+++ b/sloeline/src/daemon/orders.rs
@@ -172,7 +172,7 @@
                 Step::Bound(pool, bound) => {
                     let pool = &self.pools[&pool].pool;
                     let Bound { open, rate } = bound.unwrap_or_default();
-                    pool.bound.set(pool.engine.now(), open, rate);
+                    pool.operator_limit.set(pool.engine.now(), open, rate);
                 }
                 Step::Standby(on) => {
                     orders.presence.standby(Instant::now().into_std(), on);
@@ -186,7 +186,7 @@
         orders.carried = to;
         let posture = orders.presence.posture(Instant::now().into_std());
         drop(orders);
-        self.listeners.values().for_each(|heard| heard.callers.pose(posture));
+        self.listeners.values().for_each(|heard| heard.callers.set_posture(posture));
     }
 
     /// Nodes whose order has ended while nothing ran return when they are listed, as ones that have just started.
--- a/sloeline/src/daemon/pools.rs
+++ b/sloeline/src/daemon/pools.rs
@@ -17,7 +17,7 @@
 use sloeline_engine::types::DiscoveryEntry;
 use sloeline_events::tell;
 use sloeline_http::routed::Pool;
-use sloeline_http::upstream::{Dialect, Upstreams};
+use sloeline_http::upstream::{UpstreamProtocol, Upstreams};
 use sloeline_limits::admission::AdmissionLimit;
 use sloeline_limits::{Reserve, Share};
 use sloeline_membership::file::{self, Watched};
@@ -91,7 +91,7 @@
     wanted: Vec<ClassSlot>,
     assigned: Assignment,
     settings: fs::Settings,
-    dialect: Dialect,
+    dialect: UpstreamProtocol,
     tenants: HashMap<String, fs::TenantId>,
     config: Wanted,
     /// The list of a file, where it was not read before.
@@ -101,22 +101,22 @@
     instance: Instance,
 }
 
-fn dialect(pool: &Wanted) -> Result<Dialect, String> {
+fn dialect(pool: &Wanted) -> Result<UpstreamProtocol, String> {
     let header = |name: &str| HeaderName::try_from(name).map_err(|e| format!("{name:?}: {e}"));
     let declined = pool.declined.as_ref().map(|d| {
         let statuses = d.statuses.iter().filter_map(|s| StatusCode::from_u16(*s).ok()).collect();
         let value = HeaderValue::try_from(&d.value).map_err(|e| format!("{:?}: {e}", d.value));
         Ok::<_, String>((header(&d.header)?, value?, statuses))
     });
-    Ok(Dialect {
-        deadline: pool.deadline_header.as_deref().map(header).transpose()?,
-        only_ok: false,
-        declined: declined.transpose()?,
-        most_answer: pool.answer_limit,
-        held: pool.held(),
-        forwards: false,
-        errors: false,
-        echo: None,
+    Ok(UpstreamProtocol {
+        deadline_header: pool.deadline_header.as_deref().map(header).transpose()?,
+        only_200: false,
+        declined_mark: declined.transpose()?,
+        max_response_bytes: pool.answer_limit,
+        max_buffered_bytes: pool.held(),
+        forwards_any_status: false,
+        forwards_errors: false,
+        echo_header: None,
     })
 }
 
@@ -179,7 +179,7 @@
             wanted.push(ClassSlot { name: String::new(), class });
         }
         let assigned = match before {
-            Some(running) => assign(&running.slots, &wanted, |at| running.pool.uses(at)),
+            Some(running) => assign(&running.slots, &wanted, |at| running.pool.uses_class(at)),
             None => assign(&[], &wanted, |_| false),
         };
         let settings =
@@ -213,7 +213,7 @@
 
     /// Whether the classes still have the numbers that were given: requests may have taken some since.
     pub fn holds(&self, running: &Running) -> bool {
-        assign(&running.slots, &self.wanted, |at| running.pool.uses(at)) == self.assigned
+        assign(&running.slots, &self.wanted, |at| running.pool.uses_class(at)) == self.assigned
     }
 
     /// The numbers of the pool's classes, by name.
@@ -235,7 +235,7 @@
     ) -> Result<Running, String> {
         let connections = Share::new(parts.upstreams, &reserves.upstreams);
         let upstreams = Upstreams::new(&plan.settings.limits, connections.clone(), plan.dialect.clone());
-        let tend = upstreams.tend();
+        let tend = upstreams.close_expired();
         let net = Net { upstreams, discovery: None };
         let engine = Engine::new(plan.settings.clone(), zones, seed, net)?;
         let (held, let_go) = oneshot::channel();
@@ -243,13 +243,13 @@
             name: name.to_owned(),
             engine: engine.clone(),
             tenants: RefCell::new(plan.tenants.clone()),
-            open: Share::new(parts.open, &reserves.open),
-            bound: AdmissionLimit::default(),
-            fleet: AdmissionLimit::default(),
-            bodies: Share::new(parts.bodies, &reserves.bodies),
-            most_answer: Cell::new(plan.config.held()),
+            open_requests: Share::new(parts.open, &reserves.open),
+            operator_limit: AdmissionLimit::default(),
+            fleet_limit: AdmissionLimit::default(),
+            body_memory: Share::new(parts.bodies, &reserves.bodies),
+            response_reservation_bytes: Cell::new(plan.config.held()),
             admitted: Rc::default(),
-            held,
+            dropped_signal: held,
         };
         let tasks = vec![spawn_local(tend).abort_handle(), spawn_local(engine.clone().run()).abort_handle()];
         engine.start();
@@ -273,11 +273,11 @@
     /// Goes on under another plan, with what was learned and the connections that are up.
     pub fn change(&mut self, plan: Plan, parts: Parts, (known, now): (&Seen, Option<Micros>), seed: u64) {
         self.connections.resize(parts.upstreams);
-        self.pool.open.resize(parts.open);
-        self.pool.bodies.resize(parts.bodies);
+        self.pool.open_requests.resize(parts.open);
+        self.pool.body_memory.resize(parts.bodies);
         let engine = &self.pool.engine;
         let upstreams = &engine.transport().upstreams;
-        upstreams.set(&plan.settings.limits, plan.dialect.clone());
+        upstreams.set_config(&plan.settings.limits, plan.dialect.clone());
         if let Err(why) = engine.reconfigure(plan.settings.clone(), &plan.assigned.inherited) {
             // The plan was checked by the same rules before anything was changed.
             let name = &self.pool.name;
@@ -287,7 +287,7 @@
         self.slots.clone_from(&plan.assigned.slots);
         self.settings.borrow_mut().clone_from(&plan.settings);
         self.pool.tenants.borrow_mut().clone_from(&plan.tenants);
-        self.pool.most_answer.set(plan.config.held());
+        self.pool.response_reservation_bytes.set(plan.config.held());
         let before = std::mem::replace(&mut self.config, plan.config.clone());
         match (&before.nodes, &plan.config.nodes, &self.source) {
             (was, is, _) if was == is => {}
--- a/sloeline/src/daemon/routes.rs
+++ b/sloeline/src/daemon/routes.rs
@@ -6,7 +6,7 @@
 use finchshift as fs;
 use hyper::header::HeaderName;
 use sloeline_config::model::{Config, RouteTo, Source as ToldBy};
-use sloeline_http::routed::{ClassOf, Described, Pool, Routes, Service, Side, Source};
+use sloeline_http::routed::{DescribedOperation, Pool, RouteClass, RoutePool, Routes, Service, Source};
 use sloeline_routing::split::Split;
 use sloeline_routing::table::Table;
 use sloeline_work::schedule::{Job, Priority};
@@ -38,26 +38,26 @@
 pub(super) struct Leads {
     split: Option<(Split, Option<Source>)>,
     pools: Vec<String>,
-    classes: Vec<ClassOf>,
+    classes: Vec<RouteClass>,
     class_header: Option<HeaderName>,
     tenant: Option<Source>,
     key: Option<Source>,
-    most_body: usize,
-    described: Option<Described>,
+    max_body_bytes: usize,
+    described: Option<DescribedOperation>,
 }
 
 pub(super) fn leads(config: &Config, route: &RouteTo, operations: &Operations) -> Result<Leads, String> {
     let class = |name: &String| {
         let class = &config.classes.get(name).ok_or_else(|| format!("no class {name:?}"))?.class;
         let deadline = route.deadline.map_or(class.deadline, |d| d.min(class.deadline));
-        Ok::<_, String>(ClassOf { name: name.clone(), effect: class.effect, deadline })
+        Ok::<_, String>(RouteClass { name: name.clone(), effect: class.effect, deadline })
     };
     let source = |s: &Option<ToldBy>| s.as_ref().map(told_by).transpose();
     let sides = route.split.iter().map(|(pool, weight)| (pool.as_str(), *weight));
     let narrow = route.operation.as_ref().map(|o| &o.narrow);
     let described = route.operation.as_ref().and_then(|o| {
         let operation = operations.get(&o.name)?;
-        Some(Described { operation, narrow: route.classes.len() })
+        Some(DescribedOperation { operation, narrowed_class: route.classes.len() })
     });
     Ok(Leads {
         split: (route.split.len() > 1)
@@ -68,7 +68,7 @@
         class_header: route.class_header.as_deref().map(header).transpose()?,
         tenant: source(&route.tenant)?,
         key: source(&route.key)?,
-        most_body: route.body_limit,
+        max_body_bytes: route.body_limit,
         described,
     })
 }
@@ -92,17 +92,20 @@
     fn service(&self, leads: Leads, numbers: &Numbers) -> Service<Net> {
         let side = |pool: &String| {
             let of = numbers.get(pool);
-            let number = |class: &ClassOf| of.and_then(|n| n.get(&class.name)).copied();
-            Side { pool: self.pools[pool].pool.clone(), classes: leads.classes.iter().map(number).collect() }
+            let number = |class: &RouteClass| of.and_then(|n| n.get(&class.name)).copied();
+            RoutePool {
+                pool: self.pools[pool].pool.clone(),
+                classes: leads.classes.iter().map(number).collect(),
+            }
         };
         Service {
-            sides: leads.pools.iter().map(side).collect(),
+            route_pools: leads.pools.iter().map(side).collect(),
             split: leads.split,
             classes: leads.classes,
             class_header: leads.class_header,
             tenant: leads.tenant,
             key: leads.key,
-            most_body: leads.most_body,
+            max_body_bytes: leads.max_body_bytes,
             described: leads.described,
         }
     }
@@ -139,12 +142,12 @@
         };
         let services: Vec<Rc<Service<Net>>> = led.into_iter().map(made).collect();
         let mut pools: BTreeMap<&str, &Rc<Pool<Net>>> = BTreeMap::new();
-        for side in services.iter().flat_map(|s| &s.sides) {
+        for side in services.iter().flat_map(|s| &s.route_pools) {
             pools.insert(&side.pool.name, &side.pool);
         }
         let pools = pools.into_values().cloned().collect();
         let strangers = self.operations.strangers.clone();
-        Routes { table, services, pools, deadline_header, strangers }
+        Routes { table, services, pools, deadline_header, unrouted_requests: strangers }
     }
 
     /// Takes routes that are no more apart, in turns: thousands are as much work as they were to make.
--- a/sloeline/src/net.rs
+++ b/sloeline/src/net.rs
@@ -26,11 +26,11 @@
     }
 
     fn body_pending(&self, call: &Call) -> bool {
-        !call.body.has_come()
+        !call.body.is_received()
     }
 
     fn body_consumed(&self, call: &Call) -> bool {
-        call.body.spent()
+        call.body.is_consumed()
     }
 
     fn abort(&self, out: Attempt) -> bool {
--- a/sloeline/src/observed.rs
+++ b/sloeline/src/observed.rs
@@ -13,7 +13,7 @@
 use sloeline_descriptions::refs::Files;
 use sloeline_engine::clock::Clock;
 use sloeline_events::tell;
-use sloeline_http::routed::{Operation, Seen};
+use sloeline_http::routed::{ObservedResponse, Operation};
 
 /// Most lines of a summary.
 const MOST_LINES: usize = 50;
@@ -43,22 +43,22 @@
 }
 
 impl Operation for Observed {
-    fn number(&self) -> u64 {
+    fn id(&self) -> u64 {
         self.number
     }
 
-    fn narrowed(&self) -> bool {
+    fn is_narrowed(&self) -> bool {
         self.narrowed.get()
     }
 
-    fn answered(&self, seen: &Seen<'_>) -> bool {
+    fn observe(&self, seen: &ObservedResponse<'_>) -> bool {
         let text = |name: HeaderName| seen.headers.get(name).and_then(|v| v.to_str().ok());
         let seen = behaviour::Seen {
             key: seen.key,
             status: seen.status.as_u16(),
             content_type: text(CONTENT_TYPE),
             location: text(LOCATION),
-            took: seen.took,
+            took: seen.elapsed,
         };
         let odd = self.behaviour.borrow_mut().answered(self.clock.now(), &seen);
         let mut narrows = false;
--- a/sloeline/src/platform.rs
+++ b/sloeline/src/platform.rs
@@ -16,7 +16,7 @@
 use self::config::Config;
 use self::operator::{Handed, Operator};
 use self::service::Service;
-use sloeline_http::callers::Phase;
+use sloeline_http::server::Phase;
 
 pub mod config;
 mod operator;
@@ -170,6 +170,6 @@
     operator.serving();
     callers.accept(listener, &phases).await;
     operator.let_go();
-    callers.closed().await;
+    callers.wait_closed().await;
     Ok(())
 }
--- a/sloeline/src/platform/operator.rs
+++ b/sloeline/src/platform/operator.rs
@@ -169,14 +169,14 @@
     fn turn(&self, change: impl FnOnce(&mut Presence)) {
         change(&mut self.presence.borrow_mut());
         self.turned.notify_one();
-        self.service.callers().pose(self.presence.borrow().posture(Instant::now()));
+        self.service.callers().set_posture(self.presence.borrow().posture(Instant::now()));
     }
 
     /// Meets clients as orders have it, also when time alone changes that; never returns.
     pub async fn pose(self: Rc<Self>) {
         loop {
             let now = Instant::now();
-            self.service.callers().pose(self.presence.borrow().posture(now));
+            self.service.callers().set_posture(self.presence.borrow().posture(now));
             let next = self.presence.borrow().next_change(now);
             match next {
                 Some(at) => tokio::select! {
--- a/sloeline/src/platform/service.rs
+++ b/sloeline/src/platform/service.rs
@@ -8,9 +8,9 @@
 use finchshift::Micros;
 use serde_json::Value;
 use sloeline_engine::engine::Engine;
-use sloeline_http::callers::{Callers, Phase, Room};
-use sloeline_http::platform::{Named, Platform};
-use sloeline_http::upstream::{Dialect, Upstreams};
+use sloeline_http::platform::{PlatformFrontend, PlatformNames};
+use sloeline_http::server::{HttpServer, Phase, ServerLimits};
+use sloeline_http::upstream::{UpstreamProtocol, Upstreams};
 use sloeline_limits::Share;
 use sloeline_membership::platform::Discovery;
 use sloeline_settings::setup::{NameTable, Setup, balancer_settings};
@@ -51,7 +51,7 @@
 /// The balancer between its sockets.
 pub struct Service {
     engine: Rc<Engine<Net>>,
-    callers: Rc<Callers<Platform<Net>>>,
+    callers: Rc<HttpServer<PlatformFrontend<Net>>>,
     discovery: Rc<Discovery>,
     connections: Rc<Share>,
     bodies: Rc<Share>,
@@ -71,10 +71,10 @@
     classes.map(|(c, class)| ClassSlot { name: c.name.clone(), class: class.clone() }).collect()
 }
 
-fn named(setup: &Setup, wanted: &[ClassSlot], numbers: &[fs::ClassId]) -> Named {
+fn named(setup: &Setup, wanted: &[ClassSlot], numbers: &[fs::ClassId]) -> PlatformNames {
     let classes = wanted.iter().zip(numbers).map(|(w, n)| (w.name.clone(), (*n, w.class.clone())));
     let tenants = setup.tenants.iter().enumerate().map(|(i, r)| (r.name.clone(), i));
-    Named { classes: classes.collect(), tenants: tenants.collect() }
+    PlatformNames { classes: classes.collect(), tenants: tenants.collect() }
 }
 
 fn longest(wanted: &[ClassSlot]) -> Micros {
@@ -101,18 +101,18 @@
         let slots = wanted(&setup, &settings);
         let (callers, upstreams) = descriptors(sockets, processes);
         let connections = Share::standalone(upstreams);
-        let upstreams = Upstreams::new(&settings.limits, connections.clone(), Dialect::platform());
-        spawn_local(upstreams.tend());
+        let upstreams = Upstreams::new(&settings.limits, connections.clone(), UpstreamProtocol::platform());
+        spawn_local(upstreams.close_expired());
         let discovery = Discovery::new(at, generation);
         let net = Net { upstreams, discovery: Some(discovery.clone()) };
         let engine = Engine::new(settings, &zones, seed, net)?;
         let numbers: Vec<_> = (0..slots.len()).collect();
         let bodies = Share::standalone(body_bytes(memory, processes));
-        let front = Platform::new(engine.clone(), named(&setup, &slots, &numbers), bodies.clone());
+        let front = PlatformFrontend::new(engine.clone(), named(&setup, &slots, &numbers), bodies.clone());
         let longest = longest(&slots);
         Ok(Rc::new(Service {
             engine,
-            callers: Callers::new(front, Room::platform(callers, longest), phase),
+            callers: HttpServer::new(front, ServerLimits::platform(callers, longest), phase),
             discovery,
             connections,
             bodies,
@@ -133,7 +133,7 @@
     }
 
     /// The callers.
-    pub fn callers(&self) -> &Rc<Callers<Platform<Net>>> {
+    pub fn callers(&self) -> &Rc<HttpServer<PlatformFrontend<Net>>> {
         &self.callers
     }
 
@@ -174,7 +174,7 @@
 
     fn resize(&self) {
         let (callers, upstreams) = descriptors(self.sockets, self.processes.get());
-        self.callers.resize(Room::platform(callers, self.longest.get()));
+        self.callers.set_limits(ServerLimits::platform(callers, self.longest.get()));
         self.connections.resize(upstreams);
         self.bodies.resize(body_bytes(self.memory, self.processes.get()));
     }
@@ -192,12 +192,13 @@
         // What is wanted, before the classes that are only kept are among it.
         settings.check().map_err(|e| format!("settings: {e}"))?;
         let wanted = wanted(&config.setup, &settings);
-        let assigned = assign(&self.slots.borrow(), &wanted, |class| self.callers.front().uses(class));
+        let assigned =
+            assign(&self.slots.borrow(), &wanted, |class| self.callers.frontend().uses_class(class));
         settings.classes = assigned.slots.iter().map(|s| s.class.clone()).collect();
         let limits = settings.limits.clone();
         self.engine.reconfigure(settings, &assigned.inherited)?;
-        self.callers.front().rename(named(&config.setup, &wanted, &assigned.class_ids));
-        self.engine.transport().upstreams.set(&limits, Dialect::platform());
+        self.callers.frontend().set_names(named(&config.setup, &wanted, &assigned.class_ids));
+        self.engine.transport().upstreams.set_config(&limits, UpstreamProtocol::platform());
         // A class that is gone may have requests that are to be answered before a stop.
         self.longest.set(longest(&assigned.slots));
         *self.slots.borrow_mut() = assigned.slots;
