--- a/http/src/client_io.rs
+++ b/http/src/client_io.rs
@@ -1,5 +1,5 @@
-//! A caller's connection as hyper sees it: only heads that are good pass, and never more than one request. Also
-//! how long such a connection has been at what, and which of them are idle.
+//! The I/O layer between a client's socket and hyper. It passes only valid request heads to hyper, and never more
+//! than one request at a time. It also tracks the stage of each connection, its timeouts and the idle connections.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -18,33 +18,35 @@
 
 use crate::framing::{Framing, request};
 
-/// One that has not been idle for so long is not closed for others.
+/// A connection that has been idle for less than this time is not closed to make room for others.
 const SPARED: Duration = Duration::from_millis(100);
-/// Most of a head.
+/// Maximum size of a request head in bytes.
 const MOST_HEAD: usize = 16 * 1024;
-/// Slowest that a body may come on the platform, in bytes a second: half of what its slowest clients send.
+/// Minimum rate of a request body on the platform, in bytes per second. This is half the rate of the platform's
+/// slowest clients.
 const SLOWEST: u64 = 32 * 1000;
-/// Read at once.
+/// Maximum number of bytes per read from the socket.
 const CHUNK: usize = 16 * 1024;
 
-/// How long each stage of a connection may take.
+/// Time limits for the stages of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StageTimeouts {
-    /// A connection on which no request is open is kept this long.
+    /// How long a connection without an open request is kept.
     pub idle: Duration,
-    /// A head may take this long from its first byte.
+    /// Maximum time for a request head, from its first byte.
     pub head: Duration,
-    /// A body may take this long from the end of its head ...
+    /// Maximum time for a request body, from the end of the head. `body_min_rate` extends this time.
     pub body: Duration,
-    /// ... and so much longer as what has come of it takes at this rate, in bytes a second; 0 for no longer. Spares a
-    /// slow sender ...
+    /// Rate in bytes per second that extends the time for a body: each received byte adds the time that it takes at
+    /// this rate. This tolerates slow senders. 0 adds nothing.
     pub body_min_rate: u64,
-    /// ... but not one of which nothing has come for so long.
+    /// Maximum time without any byte of a body, whatever `body_min_rate` allows.
     pub body_silence: Duration,
-    /// Longest silence of an upstream within an answer that passes through.
+    /// Maximum time without data from the upstream while a response is streamed.
     pub upstream_stall: Duration,
-    /// Longest time in which a caller takes nothing of its answer. Far longer than the others: the kernel tells of room
-    /// only when a third of its buffer is free, some megabytes to a caller that takes little.
+    /// Maximum time in which a client reads nothing of its response. It is far longer than the other limits, because
+    /// the kernel reports a writable socket only when a third of its buffer is free. For a slow client that can be
+    /// megabytes.
     pub client_stall: Duration,
 }
 
@@ -64,31 +66,31 @@
     }
 }
 
-/// What a connection is at.
+/// The stage of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Stage {
-    /// No byte of a request has come.
+    /// No byte of the next request was received.
     Idle,
-    /// A part of a head has come.
+    /// A part of a request head was received.
     Head,
-    /// The head has come.
+    /// The head was received and the body is being received.
     Body,
-    /// The request has come whole and is not answered.
+    /// The whole request was received and has no response yet.
     Open,
-    /// Its answer passes through.
+    /// The response is being streamed.
     Answering,
 }
 
-/// What cannot be let through; the connection is of no further use.
+/// Why a request was rejected. The connection cannot be used any more.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// It cannot be read, or where it ends cannot be told.
+    /// The request is malformed, or its end is not certain.
     Bad,
-    /// The head does not end.
+    /// The head exceeds the size limit.
     TooLarge,
 }
 
-/// The connections that are idle, longest first.
+/// The idle client connections, ordered from the one that has been idle longest.
 pub struct IdleConnections {
     pace: Cell<StageTimeouts>,
     idle: RefCell<BTreeMap<u64, (Instant, AbortHandle)>>,
@@ -96,18 +98,18 @@
 }
 
 impl IdleConnections {
-    /// None yet.
+    /// Creates an empty set.
     pub fn new(pace: StageTimeouts) -> Rc<IdleConnections> {
         Rc::new(IdleConnections { pace: Cell::new(pace), idle: RefCell::default(), next: Cell::default() })
     }
 
-    /// Changes how long stages may take from now on.
+    /// Changes the time limits of all connections.
     pub fn set_pace(&self, pace: StageTimeouts) {
         self.pace.set(pace);
     }
 
-    /// Closes the connection that has been idle longest; else, when it may be. Guards those that have just come,
-    /// whose request is on its way.
+    /// Closes the connection that has been idle longest. The error is the time at which it may be closed, or `None`
+    /// if no connection is idle. A new connection is not closed at once because its first request may be in transit.
     pub fn close_oldest(&self) -> Result<(), Option<Instant>> {
         let mut idle = self.idle.borrow_mut();
         let oldest = idle.first_entry().ok_or(None)?;
@@ -120,34 +122,34 @@
     }
 }
 
-/// How far a connection is, seen from both sides of hyper.
+/// The state of a client connection, shared by the I/O layer below hyper and the server above it.
 pub struct Progress {
     crowd: Rc<IdleConnections>,
     task: RefCell<Option<AbortHandle>>,
     stage: Cell<Stage>,
     since: Cell<Instant>,
     first_byte: Cell<Instant>,
-    /// Bytes that have come since the head began.
+    /// Bytes of the request passed to hyper since its head began.
     passed: Cell<u64>,
-    /// When the last of them came.
+    /// When the last byte was received, or when reading resumed.
     came: Cell<Instant>,
-    /// Since when nobody asks for more: what comes goes on to an upstream that takes none now.
+    /// Since when hyper has not asked for more input, because the upstream of a streamed body does not accept data.
     held_up: Cell<Option<Instant>>,
-    /// How long it was so since the head began.
+    /// Total time since the head began during which the upstream accepted no data.
     held: Cell<Duration>,
-    /// How long it may be so where the request waits to be sent.
+    /// How long a streamed request may wait in the queue before it is sent.
     waits: Cell<Duration>,
     place: Cell<Option<u64>>,
     fault: Cell<Option<Fault>>,
     chunked: Cell<bool>,
     unread: Cell<bool>,
     stuck: Cell<bool>,
-    /// When bytes last went to the caller.
+    /// When bytes were last written to the client.
     written: Cell<Instant>,
 }
 
 impl Progress {
-    /// A connection that has just come.
+    /// Creates the state of a new connection.
     pub fn new(crowd: Rc<IdleConnections>) -> Rc<Progress> {
         let now = Instant::now();
         Rc::new(Progress {
@@ -170,17 +172,18 @@
         })
     }
 
-    /// Its task, to be ended when room is needed while it is idle.
+    /// Sets the connection's task, which is aborted if the idle connection is evicted, and enters the idle stage.
     pub fn of(&self, task: AbortHandle) {
         *self.task.borrow_mut() = Some(task);
         self.enter(Stage::Idle);
     }
 
-    /// What it is at.
+    /// Returns the current stage.
     pub fn stage(&self) -> Stage {
         self.stage.get()
     }
 
+    /// Enters a stage and resets the times that belong to it.
     fn enter(&self, stage: Stage) {
         let now = Instant::now();
         if stage == Stage::Head {
@@ -201,12 +204,14 @@
         }
     }
 
+    /// Removes the connection from the idle connections.
     fn leave_crowd(&self) {
         if let Some(place) = self.place.take() {
             self.crowd.idle.borrow_mut().remove(&place);
         }
     }
 
+    /// Records that bytes of the request were received and passed to hyper.
     fn came(&self, bytes: u64) {
         self.passed.set(self.passed.get().saturating_add(bytes));
         let now = Instant::now();
@@ -214,7 +219,7 @@
         self.held_up.set(Some(now));
     }
 
-    /// More is asked for: what comes late from here on is the caller's doing.
+    /// Records that hyper asks for more input. From here on, a delay is caused by the client.
     fn asked(&self) {
         if let Some(since) = self.held_up.take() {
             let now = Instant::now();
@@ -223,48 +228,50 @@
         }
     }
 
-    /// The body passes on; its request may wait so long to be sent, as any other.
+    /// Records that the body is streamed. `waits` is how long the request may wait in the queue before it is sent.
     pub fn passes(&self, waits: Duration) {
         self.waits.set(waits);
     }
 
-    /// The body waits for an upstream that does not take it.
+    /// Returns whether the body waits for an upstream that accepts no data.
     pub fn held_up(&self) -> bool {
         self.stage.get() == Stage::Body && self.held_up.get().is_some()
     }
 
-    /// The request has come whole.
+    /// Records that the whole request was received.
     pub fn taken(&self) {
         self.unread.set(false);
         self.enter(Stage::Open);
     }
 
-    /// Its answer has begun.
+    /// Records that the response has begun.
     pub fn answering(&self) {
         self.enter(Stage::Answering);
     }
 
-    /// It has its answer: the next one may pass.
+    /// Records that the response has ended. The next request may be parsed.
     pub fn answered(&self) {
         self.enter(Stage::Idle);
     }
 
-    /// Where the request ends is known to hyper alone: nothing may follow it.
+    /// Returns whether the body is chunked. Only hyper knows where such a request ends, so no request may follow it
+    /// on this connection.
     pub fn chunked(&self) -> bool {
         self.chunked.get()
     }
 
-    /// When it has been at this for too long; a request that is open has a clock of its own.
+    /// Returns when the current stage times out. A request that waits for its response has its own deadline and no
+    /// stage timeout.
     pub fn due(&self) -> Option<Instant> {
         let pace = self.crowd.pace.get();
         match self.stage.get() {
             Stage::Idle | Stage::Answering if self.stuck.get() => {
                 Some(self.written.get() + pace.client_stall)
             }
-            // One that still takes its last answer is not idle yet.
+            // A client that is still reading its last response is not idle yet.
             Stage::Idle => Some(self.since.get().max(self.written.get()) + pace.idle),
             Stage::Head => Some(self.first_byte.get() + pace.head),
-            // The upstream's doing.
+            // This delay is caused by the upstream.
             Stage::Body if self.held_up() => {
                 self.held_up.get().map(|since| since + pace.upstream_stall.max(self.waits.get()))
             }
@@ -273,7 +280,7 @@
                     0 => Duration::ZERO,
                     rate => Duration::from_secs_f64(self.passed.get() as f64 / rate as f64),
                 };
-                // A whole request has at least as long as a head.
+                // A whole request has at least the time limit of a head.
                 let least = self.first_byte.get() + pace.head;
                 let slow = (self.since.get() + pace.body).max(least) + earned + self.held.get();
                 Some(slow.min((self.came.get() + pace.body_silence).max(least)))
@@ -283,17 +290,17 @@
         }
     }
 
-    /// What was not let through.
+    /// Returns why a request was rejected, if one was.
     pub fn fault(&self) -> Option<Fault> {
         self.fault.get()
     }
 
-    /// The caller may still be sending.
+    /// Returns whether the client may still be sending the request.
     pub fn unread(&self) -> bool {
         self.unread.get()
     }
 
-    /// An earlier answer is not written to its end: nothing can be said after it.
+    /// Returns whether an earlier response is not fully written. No error response can follow it.
     pub fn stuck(&self) -> bool {
         self.stuck.get()
     }
@@ -305,37 +312,37 @@
     }
 }
 
-/// What the next bytes are.
+/// What the next input bytes are.
 enum Next {
-    /// A head, to be looked at first.
+    /// A request head, which must be validated first.
     Head,
-    /// So many bytes that pass.
+    /// This number of bytes is passed to hyper without inspection.
     Pass(u64),
-    /// All pass.
+    /// All further bytes are passed to hyper without inspection.
     All,
 }
 
-/// The connection between the socket and hyper.
+/// The connection between a client's socket and hyper.
 pub struct ClientIo {
     stream: TcpStream,
     progress: Rc<Progress>,
-    /// What has been read and not passed on.
+    /// Input that was read from the socket and not yet passed to hyper.
     held: Vec<u8>,
     next: Next,
 }
 
 impl ClientIo {
-    /// Nothing read yet.
+    /// Wraps a socket from which nothing was read yet.
     pub fn new(stream: TcpStream, progress: Rc<Progress>) -> ClientIo {
         ClientIo { stream, progress, held: Vec::new(), next: Next::Head }
     }
 
-    /// The socket, when hyper is done with it.
+    /// Returns the socket once hyper has released the connection.
     pub fn into_stream(self) -> TcpStream {
         self.stream
     }
 
-    /// Reads more into what is held; tells how much it was.
+    /// Reads up to `most` bytes into the buffer. Returns the number of bytes read.
     fn fill(&mut self, cx: &mut Context<'_>, most: usize) -> Poll<io::Result<usize>> {
         let mut chunk = [MaybeUninit::uninit(); CHUNK];
         let mut read = ReadBuf::uninit(&mut chunk[..most.min(CHUNK)]);
@@ -344,7 +351,7 @@
         Poll::Ready(Ok(read.filled().len()))
     }
 
-    /// Passes on what is held, up to `most`.
+    /// Passes buffered input to hyper, up to `most` bytes. Returns the number of bytes passed.
     fn pass(&mut self, buf: &mut ReadBufCursor<'_>, most: u64) -> u64 {
         let n = self.held.len().min(buf.remaining()).min(usize::try_from(most).unwrap_or(usize::MAX));
         buf.put_slice(&self.held[..n]);
@@ -355,11 +362,12 @@
         n as u64
     }
 
+    /// Rejects the input. No more input is passed to hyper.
     fn refuse(&mut self, fault: Fault) -> Poll<io::Result<()>> {
         self.progress.fault.set(Some(fault));
         self.progress.unread.set(true);
         self.held = Vec::new();
-        // An end, as hyper sees it; the answer is given when hyper has left.
+        // Hyper sees the end of the input. The error response is sent after hyper has released the connection.
         Poll::Ready(Ok(()))
     }
 }
@@ -379,7 +387,8 @@
                 Next::Head
                     if matches!(this.progress.stage(), Stage::Body | Stage::Open | Stage::Answering) =>
                 {
-                    // Whether the caller has left, and what it sends too early: held until the answer went.
+                    // Reads on to notice whether the client disconnects. Input that arrives before the response has
+                    // ended is buffered.
                     let room = MOST_HEAD - this.held.len().min(MOST_HEAD);
                     if room == 0 {
                         return Poll::Pending;
@@ -438,6 +447,7 @@
 }
 
 impl ClientIo {
+    /// Records whether a write succeeded or is blocked.
     fn note<T>(&self, written: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
         self.progress.stuck.set(written.is_pending());
         if matches!(written, Poll::Ready(Ok(_))) {
@@ -479,9 +489,10 @@
 mod tests {
     use super::*;
 
+    /// Runs a test with the clock paused.
     fn paused(test: impl AsyncFnOnce(Rc<Progress>)) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
-        // Within, where the clock stands.
+        // The state is created inside the runtime, where the clock is paused.
         let test = async { test(Progress::new(IdleConnections::new(StageTimeouts::default()))).await };
         runtime.expect("a runtime").block_on(test);
     }
@@ -494,26 +505,27 @@
             let start = Instant::now();
             progress.enter(Stage::Head);
             progress.enter(Stage::Body);
-            // 64 kB a second for 20 s.
+            // 64 kB per second for 20 s.
             for _ in 0..40 {
                 tokio::time::advance(HALF).await;
                 progress.came(32_000);
                 progress.asked();
                 assert!(progress.due().expect("a time") > Instant::now() + HALF);
             }
-            // A head and then nothing: an error is owed within 3 s of connecting.
+            // A client that sends only a head must get an error within 3 s of connecting.
             progress.answered();
             let begun = Instant::now();
             progress.enter(Stage::Head);
             progress.enter(Stage::Body);
             assert!(progress.due().expect("a time") < begun + Duration::from_secs(3));
-            // Nor with much that came at once.
+            // The silence limit also applies after a large amount of data was received.
             let much = Instant::now();
             progress.came(2_000_000);
             progress.asked();
             assert!(progress.due().expect("a time") < much + Duration::from_secs(3));
             assert!(begun > start);
-            // Held up by an upstream it is waited for, and the caller has its own time afterwards.
+            // While an upstream blocks the body, the stall limit applies. Afterwards the client has its whole
+            // silence limit again.
             let pace = StageTimeouts::default();
             progress.came(1000);
             assert!(progress.held_up());
@@ -534,7 +546,7 @@
             let pace = StageTimeouts::default();
             assert_eq!(progress.due(), Some(Instant::now() + pace.upstream_stall));
             tokio::time::advance(HALF).await;
-            // Something went out, then the caller takes nothing.
+            // A part of the response was written, then the client stopped reading.
             progress.written.set(Instant::now());
             progress.stuck.set(true);
             assert_eq!(progress.due(), Some(Instant::now() + pace.client_stall));
--- a/http/src/framing.rs
+++ b/http/src/framing.rs
@@ -1,21 +1,22 @@
-//! Where a message ends, by its head. Stricter than a server needs to be: what another could read otherwise is
-//! no message.
+//! Determines where a request ends from its head. It is stricter than the HTTP specification requires: a head that
+//! other software could interpret differently is rejected.
 
 use httparse::{EMPTY_HEADER, Header, Request, Status};
 
-/// Most header lines of a head.
+/// Maximum number of header lines in a head.
 const MOST_LINES: usize = 100;
 
-/// How long a body is.
+/// How the length of a body is given.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Framing {
-    /// So many bytes.
+    /// The body has this number of bytes.
     Length(u64),
-    /// As its chunks say.
+    /// The body is chunked.
     Chunked,
 }
 
-/// The length of a request's head and how its body is framed; nothing while the head is not whole.
+/// Parses the head of a request. Returns its length in bytes and the framing of the body, or `None` while the head
+/// is incomplete.
 pub fn request(bytes: &[u8]) -> Result<Option<(usize, Framing)>, ()> {
     let mut lines = [EMPTY_HEADER; MOST_LINES];
     let mut head = Request::new(&mut lines);
@@ -23,15 +24,15 @@
         Status::Partial => Ok(None),
         Status::Complete(end) => {
             let framing = framing(head.headers)?;
-            // Chunks came with HTTP/1.1: an older peer reads them as the body itself.
+            // Chunked encoding is new in HTTP/1.1. An older peer would read the chunks as the body itself.
             let known = head.version == Some(1) || framing != Some(Framing::Chunked);
             if known { Ok(Some((end, framing.unwrap_or(Framing::Length(0))))) } else { Err(()) }
         }
     }
 }
 
-/// What the lines say of the body; nothing if they are silent. Guards against a message in the body of another:
-/// both ways of framing at once, several lengths, and what is no number are not guessed at.
+/// Returns the framing that the header lines give, or `None` if they give none. Conflicting, repeated or malformed
+/// framing headers are errors. This prevents request smuggling.
 pub fn framing(lines: &[Header<'_>]) -> Result<Option<Framing>, ()> {
     let named = |name: &'static str| lines.iter().filter(move |l| l.name.eq_ignore_ascii_case(name));
     let mut lengths = named("content-length");
--- a/http/src/frontend.rs
+++ b/http/src/frontend.rs
@@ -1,4 +1,5 @@
-//! What a front decides of a request: by which engine and class it goes, and in which form it is forwarded.
+//! The interface between the HTTP server and a routing policy. A frontend chooses the engine and the class of a
+//! request and the form in which it is forwarded.
 
 use std::any::Any;
 use std::cell::RefCell;
@@ -20,82 +21,85 @@
 use crate::payload::Payload;
 use crate::upstream::{Call, Reply};
 
-/// A final answer.
+/// The final response to a client.
 pub type ClientResponse = Response<Payload>;
 
-/// Looks at heads. One for each listener.
+/// Decides from the head of a request how the request is handled. Each listener has one frontend.
 pub trait Frontend: 'static {
-    /// What its engines send over.
+    /// The transport over which the frontend's engines send requests to upstreams.
     type EngineTransport: Transport<Call = Call, Reply = Reply>;
 
-    /// Decides on a request by its head; the error is its final answer, and nothing of it was sent.
+    /// Admits or rejects a request by its head. The error is the final response to the client; in that case nothing
+    /// was sent to an upstream.
     fn admit(
         &self,
         head: &Parts,
         peer: SocketAddr,
     ) -> Result<Admission<Self::EngineTransport>, ClientResponse>;
 
-    /// Requests can be served.
+    /// Returns whether requests can be served now.
     fn ready(&self) -> bool;
 
-    /// What the caller of a refused request is told, `0` for no wish of the module's.
+    /// Returns the `Retry-After` value for a refused request. `wish` is the delay that the engine proposes, or 0 if
+    /// it proposes none.
     fn retry_after(&self, wish: Micros) -> Option<HeaderValue>;
 }
 
-/// Looks at the answer to a request of an operation that is described.
+/// Inspects the response to a request of a described operation.
 pub trait ResponseObserver {
-    /// The operation's number.
+    /// Returns the id of the operation.
     fn operation(&self) -> u64;
 
-    /// An upstream's answer has begun, so long after the request was taken.
+    /// Called when the response of an upstream begins. `took` is the time since the request was submitted to the
+    /// engine.
     fn on_response(self: Box<Self>, status: StatusCode, headers: &HeaderMap, took: Micros);
 }
 
-/// A request that is taken if its body comes.
+/// How to handle an admitted request once its body arrives.
 pub struct Admission<W: Transport> {
-    /// The engine that it goes to.
+    /// The engine that schedules the request.
     pub engine: Rc<Engine<W>>,
-    /// Its class there.
+    /// The request's class in that engine.
     pub class: fs::ClassId,
-    /// How long its caller waits, from its last byte.
+    /// Remaining time until the client's deadline, counted from the last byte of the request, in microseconds.
     pub time_left: Micros,
-    /// Whose it is.
+    /// The tenant that the request is accounted to.
     pub tenant: Option<fs::TenantId>,
-    /// A guess at its work.
+    /// Estimated work of the request, in the engine's units.
     pub work: Option<Micros>,
-    /// Its caller marks it as a repeat.
+    /// Whether the client marks the request as a retry.
     pub is_retry: bool,
-    /// The method that is forwarded.
+    /// Method of the forwarded request.
     pub method: Method,
-    /// Path and query that are forwarded.
+    /// Path and query of the forwarded request.
     pub uri: Uri,
-    /// The end-to-end headers that are forwarded.
+    /// End-to-end headers of the forwarded request.
     pub headers: HeaderMap,
-    /// Most bytes of its body.
+    /// Maximum size of the request body in bytes.
     pub max_body_bytes: usize,
-    /// Most bytes of its answer that are held at once.
+    /// Bytes of body memory reserved for buffering the response.
     pub response_reservation_bytes: usize,
-    /// Its class has no body.
+    /// Whether a non-empty request body is rejected.
     pub forbids_body: bool,
-    /// No other open request of this listener may have it.
+    /// A request id that must be unique among the open requests of the listener.
     pub request_id: Option<HeaderValue>,
-    /// The bytes that bodies of its pool may take.
+    /// The memory budget for the bodies of requests and responses of this pool.
     pub body_memory: Rc<Share>,
-    /// The operation that it runs, and who looks at its answer.
+    /// Observes the response if the request belongs to a described operation.
     pub observer: Option<Box<dyn ResponseObserver>>,
-    /// What it holds until it is answered.
+    /// Resources that the request holds until it is answered. They are released when this value is dropped.
     pub guard: Option<Box<dyn Any>>,
 }
 
-/// How many requests have each class, from their heads to their answers. Guards a body that is on its way while the
-/// classes change.
+/// Counts the open requests of each class, from their heads to their responses. The count prevents a class id from
+/// being reassigned while a request body of that class is still being received.
 #[derive(Debug, Default)]
 pub struct Admitted {
     counts: RefCell<Vec<usize>>,
 }
 
 impl Admitted {
-    /// Counts one until what is returned is dropped.
+    /// Counts a request of the class until the returned guard is dropped.
     pub fn count(self: &Rc<Self>, class: fs::ClassId) -> AdmittedGuard {
         let mut counts = self.counts.borrow_mut();
         if counts.len() <= class {
@@ -105,13 +109,13 @@
         AdmittedGuard { admitted: self.clone(), class }
     }
 
-    /// Whether there is any of this class.
+    /// Returns whether any request of the class is counted.
     pub fn any_open(&self, class: fs::ClassId) -> bool {
         self.counts.borrow().get(class).is_some_and(|n| *n > 0)
     }
 }
 
-/// A request that is counted.
+/// Keeps one request counted in [`Admitted`] until it is dropped.
 #[derive(Debug)]
 pub struct AdmittedGuard {
     admitted: Rc<Admitted>,
@@ -126,7 +130,7 @@
     }
 }
 
-/// The headers that are not about the connection or the framing.
+/// Returns the headers without those that concern only the connection or the message framing.
 pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let named: Vec<&str> = headers
         .get_all(CONNECTION)
@@ -142,14 +146,15 @@
     headers.iter().filter(|(name, _)| !hop(name)).map(|(n, v)| (n.clone(), v.clone())).collect()
 }
 
-/// An answer of the balancer's own.
+/// Builds a response that the balancer itself generates, with a text body.
 pub fn text_response(status: StatusCode, why: impl Into<Bytes>) -> ClientResponse {
     let mut response = Response::new(why.into().into());
     *response.status_mut() = status;
     response
 }
 
-/// Digits and nothing else.
+/// Parses a decimal number. Returns `None` for anything but ASCII digits, including signs and spaces, and on
+/// overflow.
 pub fn parse_digits(text: &str) -> Option<u64> {
     (!text.is_empty() && text.bytes().all(|b| b.is_ascii_digit())).then(|| text.parse().ok())?
 }
--- a/http/src/lib.rs
+++ b/http/src/lib.rs
@@ -1,4 +1,5 @@
-//! HTTP/1.1 on both sides of the engine: callers' connections and requests, attempts on upstreams.
+//! HTTP/1.1 on both sides of the engine: client connections and requests on one side, attempts on upstreams on the
+//! other.
 
 pub mod client_io;
 mod framing;
@@ -11,10 +12,10 @@
 pub mod upload;
 pub mod upstream;
 
-/// Most of a body on the platform, either way.
+/// Maximum size of a request or response body on the platform.
 pub const PLATFORM_MAX_BODY_BYTES: usize = 32 << 20;
-/// Answers up to here are read whole before they go on: until then another upstream may be asked. Longer ones pass
-/// through as they come.
+/// Default size in bytes up to which a response is buffered whole before it is forwarded. While a response is
+/// buffered, the request can still be retried on another upstream. Larger responses are streamed.
 pub const MAX_BUFFERED_BYTES: usize = 64 * 1024;
-/// Most that is read ahead of a message; a head that does not end is given up there.
+/// Maximum number of bytes read ahead of a message, in bytes. A longer head is rejected.
 const MOST_HEAD: usize = 64 * 1024;
--- a/http/src/payload.rs
+++ b/http/src/payload.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers: whole ones, and long ones that pass through as they come. Those of requests that pass use the same.
+//! Response bodies, buffered or streamed. Streamed request bodies use the same type.
 
 use std::fmt;
 use std::io;
@@ -9,23 +9,23 @@
 use http_body_util::Full;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 
-/// How a long body ended.
+/// How a streamed body ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BodyEnd {
-    /// All of it has passed.
+    /// The whole body was read.
     Complete,
-    /// Its sender broke off, or it is longer than it may be.
+    /// The sender broke off, or the body exceeded the size limit.
     Failed,
-    /// Nobody wants the rest.
+    /// The reader dropped the body before its end.
     Abandoned,
 }
 
-/// The body of an answer.
+/// The body of a response.
 #[derive(Debug)]
 pub enum Payload {
-    /// It is here.
+    /// The whole body is in memory.
     Buffered(Full<Bytes>),
-    /// It is on its way.
+    /// The body is still being received.
     Streaming(Box<StreamingBody>),
 }
 
@@ -35,12 +35,12 @@
     }
 }
 
-/// A body that goes on as its sender gives it, in either direction: what is not taken on is not read, so that it takes no
-/// more memory than a buffer on each side.
+/// A streamed body in either direction. Data is read from the sender only as fast as the receiver accepts it, so the
+/// body uses no more memory than a buffer on each side.
 pub struct StreamingBody {
     first: Option<Bytes>,
     rest: Incoming,
-    /// Bytes that the rest may still have.
+    /// Maximum number of bytes that the rest may still have.
     most: u64,
     ends: Vec<Box<dyn FnOnce(BodyEnd)>>,
 }
@@ -52,17 +52,17 @@
 }
 
 impl StreamingBody {
-    /// What has come of a body, and its rest, which may have so many bytes.
+    /// Creates a streamed body. `first` is the part that was already read, and `rest` may have at most `most` bytes.
     pub fn new(first: Bytes, rest: Incoming, most: u64) -> StreamingBody {
         StreamingBody { first: Some(first).filter(|f| !f.is_empty()), rest, most, ends: Vec::new() }
     }
 
-    /// Tells its end once, also when it is dropped.
+    /// Calls `tell` once when the body ends, also if it is dropped before.
     pub fn on_end(&mut self, tell: impl FnOnce(BodyEnd) + 'static) {
         self.ends.push(Box::new(tell));
     }
 
-    /// Of a body whose length was told nobody asks for more than that.
+    /// Ends the body if its last frame was read. Nobody polls for another frame of a body of known length.
     fn end_if_last(&mut self) {
         if self.rest.is_end_stream() {
             self.end(BodyEnd::Complete);
@@ -95,7 +95,8 @@
             this.end_if_last();
             return Poll::Ready(Some(Ok(Frame::data(first))));
         }
-        // With what has no end its reader must see that it is not whole: an error breaks its connection.
+        // The receiver of a body without a known length must notice that it is incomplete. An error aborts its
+        // connection.
         let failed = match ready!(Pin::new(&mut this.rest).poll_frame(cx)) {
             None => {
                 this.end(BodyEnd::Complete);
@@ -119,7 +120,7 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        // Its end is told when it is asked for.
+        // The end is reported only when the receiver polls for it.
         false
     }
 
--- a/http/src/platform.rs
+++ b/http/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's front: one engine, and requests that name their class, tenant and time in `Req-` headers.
+//! The platform's frontend: one engine, and requests that name their class, tenant and deadline in `Req-` headers.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -22,7 +22,7 @@
 const REQ_ID: HeaderName = HeaderName::from_static("req-id");
 const KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// Named classes and tenants before one engine.
+/// A frontend with one engine, whose requests name their class and tenant.
 pub struct PlatformFrontend<W: Transport> {
     engine: Rc<Engine<W>>,
     named: RefCell<PlatformNames>,
@@ -30,27 +30,27 @@
     bodies: Rc<Share>,
 }
 
-/// What requests may name.
+/// The names that requests may use.
 #[derive(Default)]
 pub struct PlatformNames {
-    /// Classes: their number and definition.
+    /// Class ids and definitions by class name.
     pub classes: HashMap<String, (fs::ClassId, fs::Class)>,
-    /// Tenants: their number.
+    /// Tenant ids by tenant name.
     pub tenants: HashMap<String, fs::TenantId>,
 }
 
 impl<W: Transport> PlatformFrontend<W> {
-    /// A front for what may be named; bodies and answers take of the share.
+    /// Creates a frontend for these names. `bodies` is the memory budget for request and response bodies.
     pub fn new(engine: Rc<Engine<W>>, named: PlatformNames, bodies: Rc<Share>) -> PlatformFrontend<W> {
         PlatformFrontend { engine, named: RefCell::new(named), admitted: Rc::default(), bodies }
     }
 
-    /// Takes the next request by other names; those that are admitted keep their class.
+    /// Changes the names for subsequent requests. Requests that are already admitted keep their class.
     pub fn set_names(&self, named: PlatformNames) {
         *self.named.borrow_mut() = named;
     }
 
-    /// Whether a request of the class is admitted or open: its number must keep its meaning.
+    /// Returns whether a request of the class is admitted or open. While it is, the class id must not be reassigned.
     pub fn uses_class(&self, class: fs::ClassId) -> bool {
         self.admitted.any_open(class) || self.engine.class_in_use(class)
     }
@@ -64,7 +64,7 @@
         if head.uri.path() != "/api" {
             return Err(text_response(StatusCode::NOT_FOUND, "no such path"));
         }
-        // Guards against peers that read the first of two and others that read the last.
+        // Other software may use either the first or the last value of a repeated header.
         let doubled = |name: &HeaderName| head.headers.get_all(name).iter().nth(1).is_some();
         let counted = |name: &&HeaderName| name.as_str().starts_with("req-") || **name == KEY;
         if head.headers.keys().filter(counted).any(doubled) {
@@ -79,7 +79,7 @@
         if head.method != Method::GET && head.method != Method::POST {
             return Err(text_response(StatusCode::METHOD_NOT_ALLOWED, "GET or POST"));
         }
-        // Method and key say what may be repeated; the class says the same, or one of the two is wrong.
+        // The method and the idempotency key determine whether a retry is safe. They must agree with the class.
         let key = head.headers.get(KEY).map(|key| !key.is_empty());
         let fits = match class.effect {
             Effect::Safe => head.method == Method::GET && key.is_none(),
@@ -97,11 +97,11 @@
             }
         };
         let headers = end_to_end_headers(&head.headers);
-        // Guards against a caller that names them as its connection's own: they would not go on.
+        // A client could list these headers in its Connection header, and they would not be forwarded.
         if [REQ_ID, KEY].iter().any(|name| head.headers.contains_key(name) && !headers.contains_key(name)) {
             return Err(bad("Connection names Req-Id or Idempotency-Key"));
         }
-        // A request that names the whole address is for this path all the same.
+        // A target in absolute form is reduced to its path and query.
         let path = head.uri.path_and_query().cloned().ok_or_else(|| bad("no path"))?;
         Ok(Admission {
             engine: self.engine.clone(),
--- a/http/src/pool.rs
+++ b/http/src/pool.rs
@@ -28,13 +28,14 @@
 use crate::MOST_HEAD;
 use crate::upload::OutgoingBody;
 
-/// Part of the upstreams' idle time after which a connection is closed here: far from crossing theirs.
+/// Idle connections are closed after this share of the upstreams' own idle timeout, so that a request does not meet
+/// a connection that the upstream is closing.
 const KEEP: f64 = 0.7;
-/// How long an idle connection is kept where the settings name no time.
+/// Idle timeout of a connection if the settings have none.
 const KEEP_UNTOLD: Duration = Duration::from_secs(3);
-/// A connection attempt's limit where the settings name none, and a probe's in all.
+/// Timeout of a connection attempt if the settings have none, and of a whole health probe.
 pub const CONNECT_UNTOLD: Duration = Duration::from_secs(1);
-/// The socket as hyper's connection holds it: it can be looked at from outside and counts what is written.
+/// The socket below hyper. The pool can inspect it while hyper uses it, and it counts the bytes written.
 struct Socket {
     stream: Rc<RefCell<TokioIo<TcpStream>>>,
     written: Rc<Cell<u64>>,
@@ -42,7 +43,7 @@
     _leaves: Leaves,
 }
 
-/// Tells the pool when a connection that it gave up is closed.
+/// Keeps the count of released connections whose sockets are still open.
 struct Leaves {
     given_up: Rc<Cell<bool>>,
     leaving: Rc<Cell<usize>>,
@@ -99,22 +100,23 @@
     }
 }
 
-/// A connection; dropped, it is closed.
+/// A connection to an upstream. Dropping it closes the connection.
 pub struct Conn {
-    /// Takes the next request.
+    /// Sends the next request on the connection.
     pub sender: SendRequest<OutgoingBody>,
-    /// What moves its bytes; ended, the connection is closed.
+    /// The task that drives the connection. Aborting it closes the connection.
     pub driver: AbortHandle,
     stream: Weak<RefCell<TokioIo<TcpStream>>>,
-    /// Bytes written so far.
+    /// Bytes written to the connection so far.
     pub written: Rc<Cell<u64>>,
     given_up: Rc<Cell<bool>>,
     address: SocketAddr,
 }
 
 impl Conn {
-    /// Nothing has come and the peer has not closed. Asks the kernel: the runtime may not have looked since,
-    /// and a request on a closed connection would end as a reset.
+    /// Returns whether the connection is open and has no unexpected input. This asks the kernel, because the runtime
+    /// may not have polled the socket since the upstream closed it, and a request on a closed connection would end
+    /// in a reset.
     fn fresh(&self) -> bool {
         let Some(stream) = self.stream.upgrade() else { return false };
         let mut byte = [MaybeUninit::uninit()];
@@ -130,17 +132,18 @@
     }
 }
 
+/// An idle connection and the time since when it has been idle.
 struct Idle {
     conn: Conn,
     since: Instant,
 }
 
-/// The idle connections, each upstream's in the order in which they came.
+/// The idle connections by upstream, in the order in which they became idle.
 #[derive(Default)]
 struct Idles {
     of: HashMap<ServerId, Vec<Idle>>,
-    /// For each upstream in `of`, one entry: its oldest connection has been idle since then, or only later. Guards the
-    /// processor: with thousands of upstreams nothing may look at all of them for each connection that grows old.
+    /// One entry for each upstream in `of`, with a lower bound for the time since when its oldest connection has
+    /// been idle. With thousands of upstreams, this avoids scanning all of them for each expired connection.
     oldest: BinaryHeap<Reverse<(Instant, ServerId)>>,
 }
 
@@ -153,7 +156,8 @@
         list.push(idle);
     }
 
-    /// Since when the oldest of all has been idle, and whose it is. Those whose upstream has closed them are dropped.
+    /// Returns the connection that has been idle longest: the time since when, and its upstream. Connections that
+    /// were closed by their upstream are dropped.
     fn oldest(&mut self) -> Option<(Instant, ServerId)> {
         loop {
             let mut first = self.oldest.peek_mut()?;
@@ -174,7 +178,7 @@
         }
     }
 
-    /// Closes the one that has been idle longest; tells whether there was one.
+    /// Closes the connection that has been idle longest. Returns whether there was an idle connection.
     fn close_oldest(&mut self) -> bool {
         let Some((_, server)) = self.oldest() else { return false };
         if let Some(list) = self.of.get_mut(&server) {
@@ -184,22 +188,22 @@
     }
 }
 
-/// The connections that are idle, and how many there are in all.
+/// The idle connections, and the limit on all connections.
 pub struct Pool {
     idle: RefCell<Idles>,
     places: Rc<Share>,
-    /// Connections given up whose sockets the runtime has not closed yet.
+    /// Number of released connections whose sockets the runtime has not closed yet.
     leaving: Rc<Cell<usize>>,
     keep: Cell<Duration>,
     connect_timeout: Cell<Duration>,
     filled: Notify,
     changed: Notify,
-    /// Numbers attempts, from a start that is drawn anew in each life of the process.
+    /// The number of the last attempt. It starts at a random value in each process.
     attempts: Cell<u64>,
 }
 
 impl Pool {
-    /// None yet, and never more than the share allows.
+    /// Creates an empty pool. `places` limits the number of connections.
     pub fn new(limits: &fs::Limits, places: Rc<Share>) -> Pool {
         let pool = Pool {
             idle: RefCell::default(),
@@ -215,7 +219,7 @@
         pool
     }
 
-    /// Changes how long connections are kept and may take to come up.
+    /// Changes the idle timeout and the connect timeout.
     pub fn set(&self, limits: &fs::Limits) {
         let span = |micros, untold| if micros == 0 { untold } else { Duration::from_micros(micros) };
         self.keep.set(span((limits.idle_close as f64 * KEEP) as Micros, KEEP_UNTOLD));
@@ -223,14 +227,14 @@
         self.changed.notify_one();
     }
 
-    /// The number of the next attempt.
+    /// Returns the number for the next attempt.
     pub fn next_attempt(&self) -> u64 {
         let number = self.attempts.get().wrapping_add(1);
         self.attempts.set(number);
         number
     }
 
-    /// Connections that are open.
+    /// Returns the number of open connections.
     #[cfg(test)]
     pub fn open(&self) -> usize {
         self.places.used()
@@ -243,7 +247,7 @@
         }
     }
 
-    /// The idle connection used last that is still good.
+    /// Takes the most recently used idle connection that can be reused.
     pub fn take(&self, to: Target) -> Option<Conn> {
         let mut idle = self.idle.borrow_mut();
         let list = idle.of.get_mut(&to.server)?;
@@ -255,11 +259,12 @@
         None
     }
 
-    /// Keeps a connection for the next request to this upstream.
+    /// Puts a connection back for the next request to this upstream.
     pub fn put(&self, server: ServerId, conn: Conn) {
-        // Guards other pools: what was borrowed of the common reserve goes back while it is scarce.
+        // While the shared reserve is scarce, borrowed connections are closed so that other pools can use them.
         if self.places.should_release(self.leaving.get()) {
-            // While its socket is there, which tells when it is not.
+            // Counts the connection as released only while its socket exists, because dropping the socket ends the
+            // count.
             if conn.stream.upgrade().is_some() && !conn.given_up.replace(true) {
                 self.leaving.set(self.leaving.get() + 1);
             }
@@ -277,9 +282,10 @@
         self.idle.borrow_mut().close_oldest()
     }
 
-    /// A new connection, or why there is none.
+    /// Opens a new connection. The error is the outcome of the attempt.
     pub async fn connect(&self, address: SocketAddr) -> Result<Conn, Outcome> {
-        // Guards the limit on descriptors: a connection is turned into another, or the attempt is not sent.
+        // Keeps the limit on file descriptors: an idle connection is closed to make room, or else the attempt is not
+        // sent.
         let place = loop {
             if let Some(place) = self.places.acquire(1) {
                 break place;
@@ -287,7 +293,7 @@
             if !self.close_oldest() {
                 return Err(Outcome::NotSent);
             }
-            // The socket is closed once its task has been dropped.
+            // The socket is closed only once the task of its connection has been dropped.
             tokio::task::yield_now().await;
         };
         let stream = match timeout(self.connect_timeout.get(), TcpStream::connect(address)).await {
@@ -307,7 +313,7 @@
             Socket { stream: stream.clone(), written: written.clone(), _place: place, _leaves: leaves };
         let stream = Rc::downgrade(&stream);
         let (sender, connection) = http1::Builder::new()
-            // A head that does not end is given up there.
+            // A longer response head is rejected.
             .max_buf_size(MOST_HEAD)
             .handshake(socket)
             .await
@@ -318,7 +324,7 @@
         Ok(Conn { sender, driver: driver.abort_handle(), stream, written, given_up, address })
     }
 
-    /// Closes connections that have been idle too long; one sleep for all of them.
+    /// Closes connections that have been idle too long. A single timer serves all connections.
     pub async fn close_expired(self: Rc<Self>) {
         loop {
             let oldest = {
@@ -333,7 +339,7 @@
             match oldest {
                 Some(since) => tokio::select! {
                     () = sleep_until(since + self.keep.get()) => {}
-                    // Another time may hold from now on.
+                    // The idle timeout may have changed.
                     () = self.changed.notified() => {}
                 },
                 None => self.filled.notified().await,
@@ -342,7 +348,8 @@
     }
 }
 
-/// The process or the machine has no descriptor, port or buffer left: nothing of the upstream's.
+/// Returns whether a connect error means that this process or machine lacks file descriptors, ports or buffers. The
+/// upstream is not at fault then.
 fn out_of_sockets(e: &io::Error) -> bool {
     // EMFILE, ENFILE, ENOBUFS, EADDRNOTAVAIL.
     matches!(e.raw_os_error(), Some(24 | 23 | 105 | 99))
--- a/http/src/routed.rs
+++ b/http/src/routed.rs
@@ -1,4 +1,4 @@
-//! The daemon's front: a table of routes, each with a class, a pool or a split between pools, and limits.
+//! The daemon's frontend. Its routing table gives each route a class, a pool or a split between pools, and limits.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -25,59 +25,61 @@
 };
 use crate::upstream::{Call, Reply};
 
+/// Header to which the address of the client is appended.
 const FORWARDED_FOR: HeaderName = HeaderName::from_static("x-forwarded-for");
-/// With these some servers take another method than the one that the route was found by.
+/// Headers by which some servers override the method of the request. The route is matched by the method in the
+/// request line.
 const OVERRIDES: [HeaderName; 3] = [
     HeaderName::from_static("x-http-method-override"),
     HeaderName::from_static("x-http-method"),
     HeaderName::from_static("x-method-override"),
 ];
 
-/// Where something about a request is told.
+/// Where a value is taken from in a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Source {
-    /// Always the same.
+    /// A constant, the same for every request.
     Fixed(String),
-    /// In a header.
+    /// The value of a request header.
     Header(HeaderName),
-    /// In a parameter of the query.
+    /// The value of a query parameter.
     Query(String),
-    /// In the path's segment with this number.
+    /// The path segment with this index.
     Segment(usize),
 }
 
-/// A pool, as routes see it.
+/// A pool of upstreams as used by routes.
 pub struct Pool<W: Transport> {
-    /// Its name.
+    /// Name of the pool.
     pub name: String,
-    /// Its engine.
+    /// The engine that schedules requests to the pool.
     pub engine: Rc<Engine<W>>,
-    /// The numbers of the tenants.
+    /// Tenant ids by tenant name.
     pub tenants: RefCell<HashMap<String, fs::TenantId>>,
-    /// How many requests it may have open.
+    /// Limits the number of open requests.
     pub open_requests: Rc<Share>,
-    /// What operators let it take for a time.
+    /// A temporary limit set by operators.
     pub operator_limit: AdmissionLimit,
-    /// What the fleet lets this instance take of what all may.
+    /// This instance's share of the limit for the whole fleet.
     pub fleet_limit: AdmissionLimit,
-    /// Bytes that bodies and answers may take.
+    /// Memory budget for request and response bodies, in bytes.
     pub body_memory: Rc<Share>,
-    /// Most bytes of an answer.
+    /// Bytes of body memory reserved for buffering each response.
     pub response_reservation_bytes: Cell<usize>,
-    /// The requests that are admitted, their bodies still on their way or not.
+    /// Counts the admitted requests, including those whose bodies are still being received.
     pub admitted: Rc<Admitted>,
-    /// Dropped with the pool, when neither routes nor requests hold it any more.
+    /// Closes when the pool is dropped, that is, when no route and no request uses it any more.
     pub dropped_signal: oneshot::Sender<()>,
 }
 
 impl<W: Transport> Pool<W> {
-    /// Whether a request of the class is admitted or open: its number must keep its meaning.
+    /// Returns whether a request of the class is admitted or open. While it is, the class id must not be reassigned.
     pub fn uses_class(&self, class: fs::ClassId) -> bool {
         self.admitted.any_open(class) || self.engine.class_in_use(class)
     }
 }
 
-/// A request in a pool, from its head to its answer.
+/// Resources that a request holds in a pool, from its head to its response.
 struct InHand<W: Transport> {
     _pool: Rc<Pool<W>>,
     _class: AdmittedGuard,
@@ -90,56 +92,57 @@
     }
 }
 
-/// A class that a route may give.
+/// A class that a route can assign to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteClass {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// What may be repeated.
+    /// Whether requests of the class are safe, keyed or unsafe to repeat.
     pub effect: Effect,
-    /// How long its callers wait at the longest.
+    /// Maximum time that a client waits for a response, in microseconds.
     pub deadline: Micros,
 }
 
-/// One side of a route's split, or its only pool.
+/// A pool that a route sends requests to: its only pool, or one of the pools of its split.
 pub struct RoutePool<W: Transport> {
     /// The pool.
     pub pool: Rc<Pool<W>>,
-    /// The number there of each of the route's classes.
+    /// The id in this pool of each of the route's classes, or `None` if the pool lacks the class.
     pub classes: Vec<Option<fs::ClassId>>,
 }
 
-/// An answer, as an operation looks at it.
+/// A response as an operation observes it.
 pub struct ObservedResponse<'a> {
-    /// The key of the request.
+    /// Idempotency key of the request.
     pub key: Option<&'a str>,
-    /// The status.
+    /// Status of the response.
     pub status: StatusCode,
-    /// The headers.
+    /// Headers of the response.
     pub headers: &'a HeaderMap,
-    /// How long it took, in microseconds.
+    /// Time from the submission of the request to the start of the response, in microseconds.
     pub elapsed: Micros,
 }
 
-/// An operation that is described: its answers are looked at, and it may turn out less harmless than its class says.
+/// A described operation. It observes responses, and its class can be narrowed when they show that a retry is less
+/// safe than described.
 pub trait Operation {
-    /// The same for as long as its requests are the same.
+    /// Returns the id of the operation. It stays the same as long as the operation's requests stay the same.
     fn id(&self) -> u64;
-    /// It is not as harmless to repeat as described.
+    /// Returns whether responses have shown that a retry is less safe than described.
     fn is_narrowed(&self) -> bool;
-    /// Looks at an answer; true where it is narrowed by this one.
+    /// Inspects a response. Returns true if this response narrows the operation.
     fn observe(&self, seen: &ObservedResponse<'_>) -> bool;
 }
 
-/// A route's operation.
+/// The described operation of a route.
 pub struct DescribedOperation {
-    /// The operation.
+    /// The operation that observes the responses.
     pub operation: Rc<dyn Operation>,
-    /// The class by which its requests go once it is narrowed.
+    /// Index of the class that the route's requests get once the operation is narrowed.
     pub narrowed_class: usize,
 }
 
-/// Looks at the answer to one request.
+/// Passes the response to one request to its operation.
 struct OperationObserver<W: Transport> {
     service: Rc<Service<W>>,
     operation: Rc<dyn Operation>,
@@ -154,7 +157,7 @@
     fn on_response(self: Box<Self>, status: StatusCode, headers: &HeaderMap, took: Micros) {
         let seen = ObservedResponse { key: self.key.as_deref(), status, headers, elapsed: took };
         if self.operation.observe(&seen) {
-            // Those that are open in any of its pools, before their next attempt.
+            // Requests of the operation that are open in any of the route's pools must not be retried any more.
             self.service
                 .route_pools
                 .iter()
@@ -163,60 +166,61 @@
     }
 }
 
-/// What becomes of the requests of a route.
+/// How the requests of a route are handled.
 pub struct Service<W: Transport> {
-    /// The pools.
+    /// The pools that the route sends requests to.
     pub route_pools: Vec<RoutePool<W>>,
-    /// Which of them, where there are several, and by what a caller is kept on its side.
+    /// How requests are split between several pools, and the value by which a client always gets the same pool.
     pub split: Option<(Split, Option<Source>)>,
-    /// The classes; the first where no header chooses.
+    /// The classes of the route. Without a class header, the first one applies.
     pub classes: Vec<RouteClass>,
-    /// The header that names the class.
+    /// The header that names the class of a request.
     pub class_header: Option<HeaderName>,
-    /// Whose requests they are.
+    /// Where the tenant of a request is taken from.
     pub tenant: Option<Source>,
-    /// What a keyed request is known by.
+    /// Where the idempotency key of a request is taken from.
     pub key: Option<Source>,
-    /// Most bytes of a body.
+    /// Maximum size of a request body in bytes.
     pub max_body_bytes: usize,
-    /// The operation, where it is described.
+    /// The described operation, if the route has one.
     pub described: Option<DescribedOperation>,
 }
 
-/// The routes of a listener as of one configuration.
+/// The routes of a listener under one configuration.
 pub struct Routes<W: Transport> {
-    /// Finds the route.
+    /// Finds the route of a request.
     pub table: Table,
-    /// What each of the table's routes leads to.
+    /// The service of each route, by the route's index in the table.
     pub services: Vec<Rc<Service<W>>>,
-    /// All pools: requests can be served when each has a list.
+    /// All pools that the routes use. Requests can be served once each of them has a list of upstreams.
     pub pools: Vec<Rc<Pool<W>>>,
-    /// The header in which callers say how long they wait, in milliseconds.
+    /// The header in which clients set their deadline, in milliseconds.
     pub deadline_header: Option<HeaderName>,
-    /// Requests that no route was found for.
+    /// Number of requests that matched no route.
     pub unrouted_requests: Rc<Cell<u64>>,
 }
 
-/// A front whose routes can be replaced; requests that were admitted keep theirs.
+/// A frontend whose routes can be replaced. Requests that are already admitted keep the routes by which they were
+/// admitted.
 pub struct RoutedFrontend<W: Transport> {
     now: RefCell<Rc<Routes<W>>>,
 }
 
 impl<W: Transport> RoutedFrontend<W> {
-    /// A front with these routes.
+    /// Creates a frontend with these routes.
     pub fn new(routes: Routes<W>) -> RoutedFrontend<W> {
         RoutedFrontend { now: RefCell::new(Rc::new(routes)) }
     }
 
-    /// Takes the next request by other routes; those before come back, where no request is being admitted by them: to
-    /// take them apart is work.
+    /// Replaces the routes for subsequent requests. Returns the previous routes unless a request is being admitted
+    /// by them, so that the caller can choose when to drop them, which is costly.
     #[must_use]
     pub fn replace_routes(&self, routes: Routes<W>) -> Option<Routes<W>> {
         Rc::into_inner(self.now.replace(Rc::new(routes)))
     }
 }
 
-/// What stands in a header.
+/// Looks up a header that must have at most one value. Several values or a value that is not text are ambiguous.
 pub fn seen(headers: &HeaderMap, name: &str) -> pattern::FieldValue {
     let mut values = headers.get_all(name).iter();
     match (values.next(), values.next()) {
@@ -228,11 +232,11 @@
     }
 }
 
-/// The target of a request in normal form.
+/// Parses the target of a request into its normal form.
 pub fn target(head: &Parts) -> Result<Target, TargetError> {
     let host = match seen(&head.headers, HOST.as_str()) {
         pattern::FieldValue::Single(host) => Some(host),
-        // RFC 9112 section 3.2: whoever is newer than HTTP/1.0 names one.
+        // RFC 9112 section 3.2: only HTTP/1.0 requests may omit the Host header.
         pattern::FieldValue::Missing if head.version == Version::HTTP_10 => None,
         _ => return Err(TargetError::InvalidHost),
     };
@@ -246,7 +250,8 @@
     }
 }
 
-/// Path and query in normal form; most come in it and need no second reading.
+/// Returns the path and query in normal form. A target that is already in that form, as most are, is not parsed
+/// again.
 fn forwarded(target: &Target, came: &Uri) -> Option<Uri> {
     match came.path_and_query() {
         Some(path) if path.path() == target.path.as_str() => Some(path.clone().into()),
@@ -254,11 +259,12 @@
     }
 }
 
+/// Builds a 400 response with this reason.
 fn bad(why: impl Into<String>) -> ClientResponse {
     text_response(StatusCode::BAD_REQUEST, why.into())
 }
 
-/// What a request says at a place; nothing where it says nothing there.
+/// Extracts a value from a request, or `None` if the request does not contain the value.
 fn told(
     source: &Source,
     request: &Request<'_>,
@@ -309,7 +315,7 @@
             }
         };
         let number_of_class = match (&service.class_header, &service.described) {
-            // As evidence has it, not as it was described.
+            // Evidence from responses takes precedence over the description.
             (_, Some(described)) if described.operation.is_narrowed() => described.narrowed_class,
             (None, _) => 0,
             (Some(name), _) => {
@@ -321,7 +327,7 @@
         let Some(class) = service.classes.get(number_of_class) else {
             return Err(text_response(StatusCode::NOT_FOUND, "a route without a class"));
         };
-        // Guards against an upstream that runs another operation than the one whose class this is.
+        // The upstream could run another operation than the one that the class was chosen for.
         if class.effect != Effect::Unsafe && OVERRIDES.iter().any(|name| head.headers.contains_key(name)) {
             return Err(bad("a method override on a route that may be repeated"));
         }
@@ -344,7 +350,7 @@
             None => 0,
             Some((split, stick)) => {
                 let value = stick.as_ref().map(|s| told(s, &request, &head.headers)).transpose()?.flatten();
-                // Who cannot be known again is known by its connection.
+                // A client without an identifying value is identified by its connection.
                 split.choose(value.map_or_else(|| hash(peer.to_string().as_bytes()), |v| hash(v.as_bytes())))
             }
         };
@@ -352,7 +358,7 @@
             return Err(text_response(StatusCode::NOT_FOUND, "a route without a pool"));
         };
         let pool = &side.pool;
-        // Nothing can be sent, and nothing was: the caller need not wait to hear so.
+        // No upstream is ready, so the request is refused at once and was not sent.
         if pool.engine.ready_upstreams() == 0 {
             return Err(self.refused("no upstream"));
         }
@@ -362,14 +368,14 @@
         if let Err(wait) = pool.fleet_limit.admit(pool.engine.now(), 0) {
             return Err(self.refused_for("the fleet's limit", wait));
         }
-        // Guards the other pools: one whose upstreams hang holds no more than its part.
+        // A pool whose upstreams hang must not take up the open requests of other pools.
         let place = pool.open_requests.acquire(1).ok_or_else(|| self.refused("the pool is full"))?;
         let deadline = class.deadline;
         let class = side.classes.get(number_of_class).copied().flatten();
         let class = class.ok_or_else(|| text_response(StatusCode::NOT_FOUND, "a route without a class"))?;
         let mut headers = end_to_end_headers(&head.headers);
-        // Guards against a caller that names the key, or what the route was found by, as its connection's own: the
-        // upstream would get another request than the one that was matched.
+        // A client could list the key or a header that the route was matched by in its Connection header. The header
+        // would then be removed, and the upstream would get another request than the one that was matched.
         let taken_off = |name: &str| head.headers.contains_key(name) && !headers.contains_key(name);
         let by_route = route.conditions.iter().filter_map(|c| match &c.source {
             ConditionSource::Header(name) => Some(name.as_str()),
@@ -420,17 +426,19 @@
         self.now.borrow().pools.iter().all(|p| p.engine.has_list())
     }
 
-    /// Whole seconds (RFC 9110 section 10.2.3), one where the module has no wish.
+    /// Returns whole seconds (RFC 9110 section 10.2.3), at least 1, also if the engine proposes no delay.
     fn retry_after(&self, wish: Micros) -> Option<HeaderValue> {
         Some(HeaderValue::from(wish.div_ceil(1_000_000).max(1)))
     }
 }
 
 impl<W: Transport<Call = Call, Reply = Reply>> RoutedFrontend<W> {
+    /// Builds a 503 response with the shortest `Retry-After`.
     fn refused(&self, why: &'static str) -> ClientResponse {
         self.refused_for(why, 0)
     }
 
+    /// Builds a 503 response with a `Retry-After` of `wait` microseconds, rounded up to seconds.
     fn refused_for(&self, why: &'static str, wait: Micros) -> ClientResponse {
         let mut answer = text_response(StatusCode::SERVICE_UNAVAILABLE, why);
         if let Some(seconds) = self.retry_after(wait) {
--- a/http/src/server.rs
+++ b/http/src/server.rs
@@ -1,4 +1,5 @@
-//! Callers: their connections, their requests and the final answers. What a request is, a [`Front`] says.
+//! The HTTP server side: client connections, their requests and the final responses. A [`Frontend`] decides how a
+//! request is handled.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -34,55 +35,61 @@
 use crate::upstream::Call;
 use crate::{MAX_BUFFERED_BYTES, MOST_HEAD};
 
-/// From the order to stop to the kill there is the longest deadline, or this where that is longer ...
+/// Upper bound of the drain time on the platform before the margin. The process is killed some time after the order
+/// to stop, which depends on the longest deadline up to this bound.
 const LONGEST_WAIT: Duration = Duration::from_secs(3);
-/// ... and so much more, less a margin.
+/// Added to the drain time on the platform. It is shorter than the grace period after the longest deadline, so that
+/// the last response precedes the kill.
 const KILL_MARGIN: Duration = Duration::from_millis(500);
-/// Part of that time in which connections and requests are still taken: the front needs it to find others.
+/// Share of the drain time during which connections and requests are still accepted on the platform. The load
+/// balancer in front needs this time to switch to other instances.
 const STILL_TAKEN: f64 = 0.37;
-/// A listener that is removed takes what its queue holds for so long: the connections are up for their callers.
+/// How long a removed listener still accepts connections. Connections in the accept queue are already established
+/// for their clients.
 const IN_QUEUE: Duration = Duration::from_millis(20);
-/// What comes so soon after the order may take its own time.
+/// A request that arrives within this time after the order to stop keeps its own deadline.
 const UNHURRIED: Duration = Duration::from_millis(600);
-/// How long a connection that has carried nothing is still kept when no more come.
+/// How long a connection without any request is kept open once no more connections are accepted.
 const NOTHING_YET: Duration = Duration::from_millis(200);
-/// Pause after a connection could not be taken for want of descriptors.
+/// Pause after a connection could not be accepted because no file descriptor was free.
 const NO_SOCKET_PAUSE: Duration = Duration::from_millis(20);
-/// Part of the connections from which on answers close theirs: room for callers that have none.
+/// Share of the connection slots in use above which responses close their connection. This leaves slots for clients
+/// that have no connection.
 const CROWDED: f64 = 0.75;
-/// How long what a caller still sends after its error is read and dropped.
+/// How long input from a client is read and discarded after an error response.
 const LINGER: Duration = Duration::from_millis(500);
-/// How much of it at the most.
+/// Maximum number of bytes that are read and discarded after an error response.
 const MOST_LINGER: usize = 1 << 20;
 
-/// How far the balancer is with its life.
+/// The lifecycle phase of the balancer.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub enum Phase {
-    /// Takes what comes.
+    /// Accepts connections and requests.
     Running,
-    /// Told to stop: unready, but connections still come.
+    /// The order to stop has come: the readiness check fails, but connections are still accepted.
     Stopping,
-    /// None come any more.
+    /// No more connections are accepted.
     Closing,
 }
 
-/// What the callers of a listener may take up.
+/// Limits for the clients of a listener.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerLimits {
-    /// Connections.
+    /// Maximum number of client connections.
     pub max_connections: usize,
-    /// How long each stage of a connection may take.
+    /// Time limits for the stages of a connection.
     pub timeouts: StageTimeouts,
-    /// The path that tells whether requests can be served.
+    /// The path of the readiness check.
     pub ready_path: String,
-    /// How long after the order to stop the last answer is given.
+    /// Time from the order to stop until the last response is sent.
     pub drain_timeout: Duration,
-    /// How long after it connections and requests are still taken.
+    /// Time from the order to stop during which connections and requests are still accepted.
     pub accept_after_stop: Duration,
 }
 
 impl ServerLimits {
-    /// So many places, and all else as the platform has it; `longest` is the longest deadline.
+    /// Returns the limits on the platform for this number of connections. `longest` is the longest deadline in
+    /// microseconds.
     pub fn platform(max_connections: usize, longest: Micros) -> ServerLimits {
         let drain_timeout = Duration::from_micros(longest).min(LONGEST_WAIT) + KILL_MARGIN;
         let (pace, ready_path) = (StageTimeouts::default(), "/health/ready".to_owned());
@@ -96,25 +103,25 @@
     }
 }
 
-/// The callers of one listener.
+/// Serves the clients of one listener.
 pub struct HttpServer<F: Frontend> {
     front: F,
     connection_slots: Arc<Semaphore>,
     room: RefCell<ServerLimits>,
     crowd: Rc<IdleConnections>,
-    /// The ids of the requests that are open.
+    /// The ids of the open requests, which must be unique.
     ids: RefCell<HashSet<HeaderValue>>,
     /// When the order to stop came.
     ordered: Cell<Option<Instant>>,
-    /// Rings when the last answer is due after that order.
+    /// Notified when the drain timeout after the order to stop expires.
     leave: Notify,
     phase: watch::Receiver<Phase>,
-    /// What operators' orders and a successor make of it.
+    /// How the server treats clients, as set by operators' orders and by a successor process.
     posture: watch::Sender<Posture>,
 }
 
 impl<F: Frontend> HttpServer<F> {
-    /// The callers that a front serves.
+    /// Creates a server that handles requests as the frontend decides.
     pub fn new(front: F, room: ServerLimits, phase: watch::Receiver<Phase>) -> Rc<Self> {
         let (places, crowd) =
             (Arc::new(Semaphore::new(room.max_connections)), IdleConnections::new(room.timeouts));
@@ -134,17 +141,17 @@
         })
     }
 
-    /// Meets clients in this way from now on.
+    /// Changes how clients are treated from now on.
     pub fn set_posture(&self, posture: Posture) {
         self.posture.send_if_modified(|now| std::mem::replace(now, posture) != posture);
     }
 
-    /// The front.
+    /// Returns the frontend.
     pub fn frontend(&self) -> &F {
         &self.front
     }
 
-    /// Changes what may be taken up; connections that are there stay.
+    /// Changes the limits. Existing connections stay open.
     pub fn set_limits(&self, room: ServerLimits) {
         let before = std::mem::replace(&mut *self.room.borrow_mut(), room.clone());
         self.crowd.set_pace(room.timeouts);
@@ -154,7 +161,8 @@
                 let (places, fewer) =
                     (self.connection_slots.clone(), before.max_connections - room.max_connections);
                 spawn_local(async move {
-                    // One by one: all at once would keep every place that frees from those who wait.
+                    // Acquiring all permits at once would withhold each freed slot from waiting connections until
+                    // enough slots are free.
                     for _ in 0..fewer {
                         if let Ok(place) = places.acquire().await {
                             place.forget();
@@ -173,12 +181,12 @@
         self.room.borrow().max_connections
     }
 
-    /// Takes connections until the order to stop and a little longer, or until none are to come any more.
+    /// Accepts connections until the listener is removed or until some time after the order to stop.
     pub async fn accept(self: &Rc<Self>, listener: TcpListener, phases: &watch::Sender<Phase>) {
         let mut phase = self.phase.clone();
         let mut posture = self.posture.subscribe();
         let mut stop_at = None;
-        // One that waits for a place. Guards it against what happens meanwhile: it has been accepted.
+        // An accepted connection that waits for a slot. It must not get lost when another event comes first.
         let mut waiting = None;
         loop {
             let accepts = posture.borrow_and_update().accepts || waiting.is_some();
@@ -200,10 +208,10 @@
                 biased;
                 place = accept, if accepts => match (place, waiting.take()) {
                     (Ok(place), Some((stream, peer))) => self.take(stream, peer, place),
-                    // Guards against a spin while no descriptor is free: the connection stays in the queue.
+                    // Avoids a busy loop while no file descriptor is free. The connection stays in the accept queue.
                     _ => sleep(NO_SOCKET_PAUSE).await,
                 },
-                // The front itself holds the other end.
+                // This cannot fail: the server itself holds the sender.
                 _ = posture.changed() => {}
                 () = end => match stop_at {
                     Some(_) => break,
@@ -212,7 +220,7 @@
                         let removed = *self.phase.borrow() == Phase::Closing;
                         let still = if removed { IN_QUEUE } else { self.room.borrow().accept_after_stop };
                         stop_at = Some(now + still);
-                        // A listener that is removed leaves its requests their own time.
+                        // The requests of a removed listener keep their own deadlines.
                         if !removed {
                             self.ordered.set(Some(now));
                             let this = self.clone();
@@ -225,7 +233,8 @@
                 },
             }
         }
-        // What the queue still holds would be reset; with a successor it is the successor's.
+        // Accepts what the queue still holds, because closing the listener would reset these connections. A
+        // successor process accepts them itself.
         while posture.borrow().accepts
             && let Some((stream, peer)) = match waiting.take() {
                 Some(waiting) => Some(waiting),
@@ -239,6 +248,7 @@
         let _ = phases.send(Phase::Closing);
     }
 
+    /// Starts a task that serves an accepted connection.
     fn take(self: &Rc<Self>, stream: TcpStream, peer: SocketAddr, place: OwnedSemaphorePermit) {
         let progress = Progress::new(self.crowd.clone());
         let task = spawn_local(self.clone().connection(stream, peer, place, progress.clone()));
@@ -250,8 +260,8 @@
         let _ = self.connection_slots.acquire_many(self.most() as u32).await;
     }
 
-    /// A place for a new connection. Guards against those that say nothing and leave none: the one that has
-    /// been idle longest makes room.
+    /// Waits for a free connection slot. If there is none, the connection that has been idle longest is closed, so
+    /// that silent clients cannot occupy all slots.
     async fn place(&self) -> Result<OwnedSemaphorePermit, AcquireError> {
         while self.connection_slots.available_permits() == 0 {
             match self.crowd.close_oldest() {
@@ -265,6 +275,7 @@
         self.connection_slots.clone().acquire_owned().await
     }
 
+    /// Serves the requests of a connection until it ends, times out or is closed for a shutdown.
     async fn connection(
         self: Rc<Self>,
         stream: TcpStream,
@@ -292,12 +303,13 @@
         loop {
             let idle_close = posture.borrow_and_update().idle_close;
             let closing = idle_close || *phase.borrow_and_update() == Phase::Closing;
-            // Not before: callers that find their connections closed may have no other balancer yet. One that has just
-            // come may have a request on its way, which hyper would not wait for; its answer closes it.
+            // Connections are not closed earlier, because their clients may not have another balancer yet. An unused
+            // connection may have a request in transit, which hyper would not wait for. The response to that request
+            // closes the connection.
             if closing && used.get() {
                 Pin::new(&mut connection).graceful_shutdown();
             }
-            // The connection until it ends, or until it has been at one thing for too long.
+            // Resolves to false when the connection ends and to true when its stage times out.
             let served = poll_fn(|cx| {
                 if connection.poll_without_shutdown(cx).is_ready() {
                     return Poll::Ready(false);
@@ -310,7 +322,7 @@
             });
             let too_late = tokio::select! {
                 too_late = served => too_late,
-                // Guards the stop against a caller that never ends its first request.
+                // Bounds the shutdown if a client never completes its first request.
                 () = sleep(NOTHING_YET), if closing && !used.get() => {
                     if used.get() { continue } else { return }
                 }
@@ -324,7 +336,7 @@
                 (None, true, Stage::Head | Stage::Body) => Some("408 Request Timeout"),
                 _ => None,
             };
-            // What hyper held goes first, the open request with it.
+            // Drops hyper's state first, and the open request with it.
             let stream = connection.into_parts().io.into_stream();
             let error = error.filter(|_| !progress.stuck());
             if error.is_some() || progress.unread() {
@@ -334,6 +346,7 @@
         }
     }
 
+    /// Answers one request and decides whether the connection is closed after the response.
     async fn respond(
         &self,
         request: Request<Incoming>,
@@ -345,11 +358,12 @@
         } else {
             self.serve_one(request, peer, progress).await
         };
-        // What comes after a request that was not read, or whose end only hyper knows, is no request.
+        // Bytes after a request that was not read, or whose end only hyper knows, must not be parsed as another
+        // request.
         let last = progress.unread() || progress.chunked();
         match response.body_mut() {
             Payload::Streaming(passing) => {
-                // The next request waits for the end of this one's answer.
+                // The next request is not parsed until this response has ended.
                 progress.answering();
                 let progress = progress.clone();
                 passing.on_end(move |end| {
@@ -369,8 +383,9 @@
         response
     }
 
+    /// Answers the readiness check.
     fn ready(&self) -> ClientResponse {
-        // Stopping, it is ready only where another process serves at its address.
+        // While stopping, the server is ready only if another process serves at its address.
         let posture = *self.posture.borrow();
         let running = *self.phase.borrow() == Phase::Running || !posture.accepts;
         if running && posture.ready && self.front.ready() {
@@ -380,6 +395,7 @@
         }
     }
 
+    /// Admits a request, reads its body, submits it to the engine and returns the final response.
     async fn serve_one(
         &self,
         request: Request<Incoming>,
@@ -391,7 +407,7 @@
             Ok(admission) => admission,
             Err(answer) => return answer,
         };
-        // What it holds of the memory for bodies: a place for its answer, and its own body as far as it has come.
+        // Body memory of the request: a reservation for its response, and its own body as far as it was received.
         let Some(room) = admission.body_memory.acquire(admission.response_reservation_bytes) else {
             return self.refused(0, "no room");
         };
@@ -424,13 +440,13 @@
             observer: witness,
             ..
         } = admission;
-        // Guards against a second request under an id that is open: upstreams could not tell them apart.
+        // Rejects a second request with an id that is still open, because upstreams could not distinguish the two.
         let _id = match id.map(|id| Id::take(&self.ids, &id)) {
             Some(None) => return text_response(StatusCode::BAD_REQUEST, "this Req-Id is open"),
             taken => taken,
         };
         let _held = held;
-        // Guards against the kill: what is taken late is answered before it can come.
+        // A request that arrives late in a shutdown must be answered before the process is killed.
         let until_kill = self.ordered.get().filter(|at| at.elapsed() > UNHURRIED).map_or(Micros::MAX, |at| {
             self.drain_timeout().saturating_sub(at.elapsed()).as_micros() as Micros
         });
@@ -440,7 +456,8 @@
         let operation = witness.as_ref().map(|witness| witness.operation());
         let asked = Instant::now();
         let asking = engine.submit(NewRequest { class, time_left, tenant, work, retry, operation, call });
-        // Guards against the kill too: what is still open by then fails, and its caller hears so.
+        // A request that is still open when the drain timeout expires fails, so that its client gets a response
+        // before the process is killed.
         let answer = tokio::select! {
             biased;
             answer = asking.answer() => answer,
@@ -451,7 +468,7 @@
                 if let Some(witness) = witness {
                     witness.on_response(reply.status, &reply.headers, asked.elapsed().as_micros() as Micros);
                 }
-                // The request's body is kept as long as its attempt, which ends with the answer.
+                // The memory of the request body is released with the attempt, which ends with the response.
                 if let Payload::Streaming(passing) = &mut reply.body {
                     passing.on_end(move |_| drop(room));
                 }
@@ -459,13 +476,13 @@
                 let mut response = Response::new(reply.body);
                 *response.status_mut() = reply.status;
                 *response.headers_mut() = end_to_end_headers(&reply.headers);
-                // Of the body that is not there (RFC 9110 section 9.3.2).
+                // The length of the body that a response to HEAD omits (RFC 9110 section 9.3.2).
                 if let Some(length) = length {
                     response.headers_mut().insert(CONTENT_LENGTH, length);
                 }
                 response
             }
-            // It never ran, and it never will.
+            // The request was never sent, and its body is incomplete.
             Answer::Refused { .. } if upload.is_some_and(|u| u.is_failed()) => {
                 text_response(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large or broke off")
             }
@@ -477,7 +494,8 @@
         }
     }
 
-    /// Trying again is harmless.
+    /// Builds a 503 response for a request that was not sent, so that a retry is safe. `wish` is the retry delay
+    /// that the engine proposes, in microseconds.
     fn refused(&self, wish: Micros, why: &'static str) -> ClientResponse {
         let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, why);
         if let Some(seconds) = self.front.retry_after(wish) {
@@ -487,16 +505,17 @@
     }
 }
 
-/// A body as far as it was read.
+/// A request body as far as it was read.
 enum Come {
-    /// All of it, and its memory.
+    /// The whole body with the permits for its memory.
     Whole(Bytes, Vec<Permit>),
-    /// There is no memory for the rest: it passes on.
+    /// A body that does not fit in memory and is streamed to the upstream.
     Passing(Rc<StreamingUpload>),
 }
 
-/// Reads a body whole, if there is memory for it; the request's clock starts when this is done. Memory is taken as it
-/// comes, so that a length that is only claimed costs nothing. The error is for the caller.
+/// Reads a request body whole if there is memory for it. Memory is acquired as data arrives, so that a false
+/// Content-Length reserves nothing. The request's deadline starts when this function returns. The error is the
+/// status and the text for the client.
 async fn read<W: Transport>(
     mut body: Incoming,
     admission: &Admission<W>,
@@ -519,9 +538,10 @@
             return Err(too_large);
         }
         if length > reserved {
-            // Twice as much each time, as the buffer grows, and no more than is told.
+            // Doubles the reservation as the buffer grows, up to the announced length.
             let more = if exact > 0 { exact.min(2 * length) } else { 2 * length }.max(length) - reserved;
-            // Guards the others: as with shares of a reserve, one body leaves free as much as it has itself.
+            // Leaves memory for other requests: beyond the default buffer size, a body must leave as much memory
+            // free as it uses itself.
             let modest = reserved + more <= MAX_BUFFERED_BYTES
                 || admission.body_memory.available() >= reserved + 2 * more;
             let Some(taken) = admission.body_memory.acquire(more).filter(|_| modest) else {
@@ -542,8 +562,8 @@
     Ok(Come::Whole(whole.freeze(), room))
 }
 
-/// Says why, if there is a word left to say, and reads on for a while. Guards the answer: a socket that is closed
-/// with something unread in it is reset, and the caller may lose what it was told.
+/// Sends an error response if there is one, then reads and discards input for a while. Closing a socket with unread
+/// input resets the connection, and the client could lose the response.
 async fn leave(mut stream: TcpStream, error: Option<&str>) -> io::Result<()> {
     if let Some(error) = error {
         let text = format!("HTTP/1.1 {error}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
@@ -560,13 +580,14 @@
     Ok(())
 }
 
-/// The id of a request that is open.
+/// Registers the id of an open request until it is dropped.
 struct Id<'a> {
     ids: &'a RefCell<HashSet<HeaderValue>>,
     id: HeaderValue,
 }
 
 impl Id<'_> {
+    /// Registers the id. Returns `None` if another open request has the same id.
     fn take<'a>(ids: &'a RefCell<HashSet<HeaderValue>>, id: &HeaderValue) -> Option<Id<'a>> {
         ids.borrow_mut().insert(id.clone()).then(|| Id { ids, id: id.clone() })
     }
--- a/http/src/upload.rs
+++ b/http/src/upload.rs
@@ -1,5 +1,5 @@
-//! Bodies of requests: whole ones, which go out again with each attempt, and those for which there is no memory. Such a
-//! one passes on as its caller gives it, to one upstream, and can be sent only once.
+//! Request bodies. A buffered body can be sent again with each attempt. A body that does not fit in memory is
+//! streamed from the client to one upstream and can be sent only once.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -17,14 +17,14 @@
 /// The body of a request as attempts send it.
 #[derive(Clone)]
 pub enum RequestBody {
-    /// It is here.
+    /// The whole body is in memory.
     Buffered(Bytes),
-    /// It is on its way.
+    /// The body is still being received from the client.
     Streaming(Rc<StreamingUpload>),
 }
 
 impl RequestBody {
-    /// Bytes that it has at the least.
+    /// Returns the minimum length of the body in bytes, as far as it is known.
     pub fn min_length(&self) -> u64 {
         match self {
             RequestBody::Buffered(bytes) => bytes.len() as u64,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// How many bytes it has, where that is known before its end.
+    /// Returns the length of the body in bytes, if it is known in advance.
     pub fn length(&self) -> Option<u64> {
         match self {
             RequestBody::Buffered(bytes) => Some(bytes.len() as u64),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Its last byte has come from the caller.
+    /// Returns whether the last byte of the body was received from the client.
     pub fn is_received(&self) -> bool {
         match self {
             RequestBody::Buffered(_) => true,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// A part of it is used up: no other attempt can have it.
+    /// Returns whether a part of the body was already sent. Then no other attempt can send it.
     pub fn is_consumed(&self) -> bool {
         match self {
             RequestBody::Buffered(_) => false,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// As one attempt sends it.
+    /// Returns the body for one attempt.
     pub fn outgoing(&self) -> OutgoingBody {
         match self {
             RequestBody::Buffered(bytes) => OutgoingBody::Buffered(Full::new(bytes.clone())),
@@ -67,19 +67,20 @@
     }
 }
 
-/// A body that passes: what the upstream does not take is not read.
+/// A streamed request body. Data is read from the client only as fast as the upstream accepts it.
 pub struct StreamingUpload {
     passing: RefCell<StreamingBody>,
     length: Option<u64>,
     frames: Cell<u64>,
     ended: Cell<Option<BodyEnd>>,
-    /// The memory of what was read before it was clear that there is not enough.
+    /// Permits for the memory of the part that was read before the budget was exhausted.
     room: RefCell<Vec<Permit>>,
     on_received: RefCell<Vec<Box<dyn FnOnce()>>>,
 }
 
 impl StreamingUpload {
-    /// What has come of a body and the memory that it has; its rest, which may have so many bytes.
+    /// Creates a streamed body. `first` is the part that was already read, `room` the permits for its memory, and
+    /// `rest` may have at most `most` bytes.
     pub fn new(first: Bytes, room: Vec<Permit>, rest: Incoming, most: u64) -> Rc<StreamingUpload> {
         let here = first.len() as u64;
         let length = rest.size_hint().exact().and_then(|rest| rest.checked_add(here));
@@ -105,26 +106,26 @@
         })
     }
 
-    /// Tells when its last byte has come; never where it breaks off.
+    /// Calls `tell` when the last byte was received. It is never called if the body fails.
     pub fn on_received(&self, tell: impl FnOnce() + 'static) {
         self.on_received.borrow_mut().push(Box::new(tell));
     }
 
-    /// It broke off, or is longer than it may be.
+    /// Returns whether the sender broke off or the body exceeded the size limit.
     pub fn is_failed(&self) -> bool {
         self.ended.get() == Some(BodyEnd::Failed)
     }
 }
 
-/// A body on its way to an upstream.
+/// A request body as it is sent to an upstream.
 pub enum OutgoingBody {
-    /// A whole one.
+    /// A body that is in memory.
     Buffered(Full<Bytes>),
-    /// One that passes.
+    /// A body that is streamed from the client.
     Streaming {
-        /// Where it comes from.
+        /// The body, shared with the request.
         upload: Rc<StreamingUpload>,
-        /// This attempt has begun to take of it.
+        /// Whether this attempt has already taken a part of the body.
         begun: bool,
     },
 }
@@ -140,13 +141,14 @@
         match self.get_mut() {
             OutgoingBody::Buffered(whole) => Pin::new(whole).poll_frame(cx).map_err(|never| match never {}),
             OutgoingBody::Streaming { upload, begun } => {
-                // Guards against a second attempt with what the first has left of it.
+                // A second attempt must not send what the first one left of the body.
                 if upload.frames.get() > 0 && !*begun {
                     return Poll::Ready(Some(Err(io::Error::other("the body is used up"))));
                 }
                 let frame = ready!(Pin::new(&mut *upload.passing.borrow_mut()).poll_frame(cx));
                 *begun = true;
-                // Whoever asks for the second has written most of the first, which alone was held.
+                // When the second frame is requested, most of the first one was written. Only the first frame was
+                // buffered, so its memory is released.
                 if upload.frames.replace(upload.frames.get() + 1) == 1 {
                     upload.room.borrow_mut().clear();
                 }
--- a/http/src/upstream.rs
+++ b/http/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Attempts and probes on upstreams.
+//! Sends attempts and health probes to upstreams.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -22,32 +22,33 @@
 use crate::upload::{OutgoingBody, RequestBody};
 use crate::{MAX_BUFFERED_BYTES, PLATFORM_MAX_BODY_BYTES};
 
-/// How long a connection may take to be ready for the next request after its answer.
+/// How long a connection may take after a response until it is ready for the next request.
 const TURN_ROUND: Duration = Duration::from_millis(500);
 
-/// How upstreams speak: what their answers mean and what they are told.
+/// How to talk to the upstreams of a pool: the headers they get and the meaning of their responses.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamProtocol {
-    /// The header that tells how long the balancer waits, in whole milliseconds.
+    /// The header that carries the remaining time of the request, in whole milliseconds.
     pub deadline_header: Option<HeaderName>,
-    /// Only 200 is served; else all final answers below 500 but 429 are the service's own and served.
+    /// If set, only status 200 counts as served. Otherwise every final status below 500 except 429 does.
     pub only_200: bool,
-    /// A header with its value, and the statuses with which it proves that the request never ran.
+    /// A header, its value and the statuses with which an upstream proves that it did not run the request.
     pub declined_mark: Option<(HeaderName, HeaderValue, Vec<StatusCode>)>,
-    /// Most bytes of an answer's body.
+    /// Maximum size of a response body in bytes.
     pub max_response_bytes: usize,
-    /// Answers up to here are read whole before they go on; longer ones pass through.
+    /// Size in bytes up to which a response is buffered whole before it is forwarded. Larger responses are streamed.
     pub max_buffered_bytes: usize,
-    /// Whatever its status, an answer is passed on as it came: for one that only forwards.
+    /// If set, a response is forwarded unchanged whatever its status. For a proxy that only relays.
     pub forwards_any_status: bool,
-    /// The answer of an upstream that failed goes to the caller, where nothing better comes.
+    /// If set, the error response of a failed upstream is forwarded when no attempt succeeds.
     pub forwards_errors: bool,
-    /// A header that numbers each attempt and that its answer must echo: one that does not belongs to another.
+    /// A header with the number of the attempt, which the response must echo. A response with another number belongs
+    /// to another attempt.
     pub echo_header: Option<HeaderName>,
 }
 
 impl UpstreamProtocol {
-    /// The platform's.
+    /// Returns the protocol of the platform's upstreams.
     pub fn platform() -> UpstreamProtocol {
         let statuses = vec![StatusCode::SERVICE_UNAVAILABLE, StatusCode::GATEWAY_TIMEOUT];
         let mark = (HeaderName::from_static("srv-declined"), HeaderValue::from_static("1"), statuses);
@@ -63,8 +64,10 @@
         }
     }
 
+    /// Returns whether a response with this status counts as served.
     fn served(&self, status: StatusCode) -> bool {
-        // 429 is a refusal to a caller: passed on, it would promise that the request never ran.
+        // 429 tells a client that its request did not run. Forwarded from an upstream, it would promise that
+        // wrongly.
         let own = status.as_u16() < 500 && status != StatusCode::TOO_MANY_REQUESTS;
         if self.forwards_any_status {
             return !status.is_informational();
@@ -72,6 +75,7 @@
         if self.only_200 { status == StatusCode::OK } else { own && !status.is_informational() }
     }
 
+    /// Returns whether the response proves that the upstream did not run the request.
     fn declines(&self, status: StatusCode, headers: &HeaderMap) -> bool {
         if self.forwards_any_status {
             return false;
@@ -81,19 +85,20 @@
     }
 }
 
-/// A request as it goes to an upstream, the same in each attempt.
+/// A request to be sent to upstreams. It is the same in every attempt.
 pub struct Call {
-    /// Its method.
+    /// Method of the request.
     pub method: Method,
-    /// Path and query.
+    /// Path and query of the request.
     pub uri: Uri,
-    /// End-to-end headers.
+    /// End-to-end headers of the request.
     pub headers: HeaderMap,
-    /// The body.
+    /// Body of the request.
     pub body: RequestBody,
 }
 
 impl Call {
+    /// Builds the HTTP request for one attempt. `limit` is the remaining time in microseconds.
     fn request(
         &self,
         address: SocketAddr,
@@ -117,7 +122,8 @@
         if let Some(name) = &dialect.echo_header {
             headers.insert(name.clone(), HeaderValue::from(number));
         }
-        // RFC 9110 section 8.6: those that expect a body say so though it is empty.
+        // RFC 9110 section 8.6: methods that define a meaning for a body send Content-Length even if the body is
+        // empty.
         if let Some(length) = self.body.length()
             && (length > 0 || [Method::POST, Method::PUT, Method::PATCH].contains(&self.method))
         {
@@ -127,25 +133,27 @@
     }
 }
 
-/// An upstream's answer.
+/// A response from an upstream.
 #[derive(Debug)]
 pub struct Reply {
-    /// Its status.
+    /// Status of the response.
     pub status: StatusCode,
-    /// Its headers.
+    /// Headers of the response.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Body of the response.
     pub body: Payload,
 }
 
-/// How far an attempt's request is written; the engine's end of an attempt looks at it.
+/// Tracks how much of an attempt's request was written. When the engine aborts an attempt, this shows whether the
+/// request may have run.
 struct Flight {
     begun: RefCell<Option<Begun>>,
-    /// Bytes of the request at the least.
+    /// Minimum size of the whole request in bytes.
     least: u64,
     body: RequestBody,
 }
 
+/// The connection on which a request is sent, and its write counter at that moment.
 struct Begun {
     driver: AbortHandle,
     written: Rc<Cell<u64>>,
@@ -164,34 +172,34 @@
         *self.begun.borrow_mut() = Some(Begun { driver, written, before });
     }
 
-    /// False only if the request's last byte is surely not written.
+    /// Returns false only if the last byte of the request was certainly not written.
     fn may_have_run(&self) -> bool {
         let written = |b: &Begun| b.written.get() - b.before >= self.least;
         self.body.is_received() && self.begun.borrow().as_ref().is_some_and(written)
     }
 }
 
-/// What came of a request that was passed on.
+/// The outcome of a relayed request.
 #[derive(Debug)]
 pub enum RelayOutcome {
-    /// The upstream has not had it whole: it never ran.
+    /// The upstream did not receive the whole request, so it did not run.
     NotSent,
-    /// It may have run, and there is no answer that could be passed on.
+    /// The request may have run, but there is no response that can be forwarded.
     Broken(Outcome),
-    /// The answer.
+    /// The response of the upstream.
     Answered(Reply),
 }
 
-/// An attempt under way.
+/// A running attempt.
 pub struct Attempt {
     task: AbortHandle,
     flight: Rc<Flight>,
 }
 
 impl Attempt {
-    /// Closes its connection at once; tells whether it may have run.
+    /// Closes the attempt's connection at once. Returns whether the request may have run.
     pub fn abort(self) -> bool {
-        // The connection first: nothing may be written any more after the look at what is.
+        // Stops the connection first, so that nothing is written after the check.
         if let Some(begun) = &*self.flight.begun.borrow() {
             begun.driver.abort();
         }
@@ -200,14 +208,14 @@
     }
 }
 
-/// How an exchange ended.
+/// The result of sending one request and reading its response.
 struct Exchanged {
     outcome: Outcome,
     load: Option<Load>,
-    /// Its body is on its way if the connection is not here.
+    /// The response, if there is one. Its body is still arriving if `passing` holds the connection.
     reply: Option<Reply>,
     conn: Option<Conn>,
-    /// The connection on which the rest of the answer comes.
+    /// The connection on which the rest of a streamed response arrives.
     passing: Option<Conn>,
 }
 
@@ -217,30 +225,30 @@
     }
 }
 
-/// All connections to upstreams.
+/// The connections to the upstreams of a pool.
 pub struct Upstreams {
     pool: Rc<Pool>,
     dialect: RefCell<Rc<UpstreamProtocol>>,
 }
 
 impl Upstreams {
-    /// No connections yet, and never more than the share allows.
+    /// Creates a client without connections. `places` limits the number of connections.
     pub fn new(limits: &fs::Limits, places: Rc<Share>, dialect: UpstreamProtocol) -> Upstreams {
         Upstreams { pool: Rc::new(Pool::new(limits, places)), dialect: RefCell::new(Rc::new(dialect)) }
     }
 
-    /// Goes on under other settings; attempts that are out keep theirs.
+    /// Changes the configuration. Running attempts keep the previous one.
     pub fn set_config(&self, limits: &fs::Limits, dialect: UpstreamProtocol) {
         self.pool.set(limits);
         *self.dialect.borrow_mut() = Rc::new(dialect);
     }
 
-    /// Closes idle connections in time; never returns.
+    /// Closes connections that have been idle too long. This future never completes.
     pub fn close_expired(&self) -> impl Future<Output = ()> + use<> {
         self.pool.clone().close_expired()
     }
 
-    /// Starts an attempt.
+    /// Starts an attempt and reports its outcome to the engine.
     pub fn send<W: Transport<Reply = Reply>>(
         &self,
         to: Target,
@@ -261,7 +269,8 @@
                 (_, whole) => whole,
             };
             let mut conn = ended.conn;
-            // Put back before the outcome is told: what the module sends on it finds the connection.
+            // Returns the connection to the pool before the outcome is reported, so that requests that the engine
+            // sends in response can use it.
             let waiting = match conn.as_mut().map(|c| c.sender.is_ready()) {
                 Some(true) => conn.take().and_then(|c| {
                     pool.put(to.server, c);
@@ -277,9 +286,9 @@
         Attempt { task: task.abort_handle(), flight }
     }
 
-    /// Passes a request on, once, and tells what came of it: for one that only forwards and decides nothing. `right` looks
-    /// at the head of the answer; one that is not right belongs to another request, and its connection is closed. Dropped,
-    /// the exchange ends and so does its connection.
+    /// Forwards a request once, without retries, for a proxy that only relays. `right` checks the head of the
+    /// response. If it returns false, the response belongs to another request and the connection is closed. Dropping
+    /// this future aborts the exchange and closes its connection.
     pub async fn relay(
         &self,
         to: Target,
@@ -291,7 +300,7 @@
         let exchanging = exchange(&self.pool, to, call, Some(limit), &dialect, &flight);
         let ended = match timeout(Duration::from_micros(limit), exchanging).await {
             Ok(ended) => ended,
-            // Its connection is closed by now: nothing more is written.
+            // The connection is closed by now, so nothing more can be written.
             Err(_) if flight.may_have_run() => return RelayOutcome::Broken(Outcome::TimedOut),
             Err(_) => return RelayOutcome::NotSent,
         };
@@ -319,7 +328,7 @@
         RelayOutcome::Answered(reply)
     }
 
-    /// Asks an upstream how it is.
+    /// Probes the health of an upstream and reports the elapsed time, the outcome and the load report.
     pub fn probe(&self, to: Target, told: impl FnOnce(Duration, Outcome, Option<Load>) + 'static) {
         let (pool, dialect) = (self.pool.clone(), self.dialect.borrow().clone());
         let uri = Uri::from_static("/health/live");
@@ -346,14 +355,15 @@
     }
 }
 
+/// Returns a connection to the pool once it can take another request. Drops the connection if that takes too long.
 async fn put_when_ready(pool: &Pool, server: ServerId, mut conn: Conn) {
     if let Ok(Ok(())) = timeout(TURN_ROUND, conn.sender.ready()).await {
         pool.put(server, conn);
     }
 }
 
-/// One request on one connection. A pooled connection that turns out dead before anything was written to it
-/// is passed over for the next; nothing is ever written twice.
+/// Sends one request and reads its response. If a pooled connection is found dead before any byte was written, the
+/// next connection is tried. No byte of a request is ever written twice.
 async fn exchange(
     pool: &Pool,
     to: Target,
@@ -388,7 +398,7 @@
     }
 }
 
-/// Lets the rest of an answer go to the caller; the attempt ends with it.
+/// Forwards the head of a streamed response. The attempt ends when the body ends.
 fn pass<W: Transport<Reply = Reply>>(
     pool: Rc<Pool>,
     server: ServerId,
@@ -404,7 +414,7 @@
                 report.end(Outcome::Ok, load, None);
                 spawn_local(async move { put_when_ready(&pool, server, conn).await });
             }
-            // With the connection, which is dropped here: nothing more is to come on it.
+            // The connection is dropped here too, because its state is unknown.
             BodyEnd::Failed => report.end(Outcome::Reset, load, None),
             BodyEnd::Abandoned => report.end(Outcome::Cancelled, load, None),
         });
@@ -412,7 +422,8 @@
     opening.begin(reply);
 }
 
-/// Reads an answer as far as it is held and tells what it means; the connection is kept only if it was read whole.
+/// Reads a response up to the buffer limit and determines its outcome. The connection is reusable only if the whole
+/// response was read.
 async fn read(
     response: Response<Incoming>,
     conn: Conn,
@@ -420,7 +431,7 @@
     number: u64,
 ) -> Exchanged {
     let (mut head, mut body) = response.into_parts();
-    // Guards against an answer that belongs to another attempt: it says nothing of this one, and its connection is closed.
+    // The response belongs to another attempt and says nothing about this one. Its connection is closed.
     if let Some(name) = &dialect.echo_header
         && head.headers.remove(name) != Some(HeaderValue::from(number))
     {
@@ -431,7 +442,8 @@
     let served = !declined && dialect.served(head.status);
     let (exact, most) = (body.size_hint().exact(), dialect.max_response_bytes as u64);
     let long = exact.is_some_and(|length| length > dialect.max_buffered_bytes as u64);
-    // Guards against an answer that is not what it seems: spoilt, it proves nothing, its mark neither.
+    // The outcome of an incomplete or oversized response. Such a response proves nothing, and its decline mark does
+    // not count either.
     let spoilt = Exchanged { load, ..Outcome::Reset.into() };
     if exact.is_some_and(|length| length > most) || (long && !served) {
         return spoilt;
@@ -468,7 +480,7 @@
     Exchanged { outcome, load, reply, conn: Some(conn), passing: None }
 }
 
-/// Most have one part, which is not copied.
+/// Concatenates the chunks of a body. A single chunk, the usual case, is not copied.
 fn joined(mut parts: Vec<Bytes>) -> Bytes {
     match parts.len() {
         0 | 1 => parts.pop().unwrap_or_default(),
@@ -476,11 +488,11 @@
     }
 }
 
-/// A load report, `name=value,name=value`; what is unknown or unreadable is passed over.
+/// Parses a load report of the form `name=value,name=value`. Unknown names and invalid values are skipped.
 fn load(text: &str) -> Load {
     let mut load = Load::default();
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
-        // Guards the module's sums: one `NaN` or `inf` would stay in them.
+        // A `NaN` or infinite value would stay in the balancer's sums forever.
         let Some(value) = value.trim().parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0) else {
             continue;
         };
@@ -504,7 +516,7 @@
     use tokio::net::{TcpListener, TcpStream};
     use tokio::task::LocalSet;
 
-    /// Reads a request's head and answers it.
+    /// Reads the head of a request and sends a response to it.
     async fn serve(stream: &mut TcpStream) {
         let mut seen = Vec::new();
         while !seen.ends_with(b"\r\n\r\n") {
@@ -513,6 +525,7 @@
         stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").await.expect("it reads");
     }
 
+    /// Runs a test with a client that may open `most` connections, and a listener as its upstream.
     fn with(most: usize, test: impl AsyncFnOnce(Upstreams, TcpListener, Target)) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         LocalSet::new().block_on(&runtime, async {
@@ -530,7 +543,7 @@
         Call { method: Method::GET, uri, headers: HeaderMap::new(), body }
     }
 
-    /// One exchange, on a new connection if `accept`; the peer's end of it and how it ended.
+    /// Runs one exchange on a new connection. Returns the upstream's end of the connection and the outcome.
     async fn once(upstreams: &Upstreams, listener: &TcpListener, to: Target) -> (TcpStream, Outcome) {
         let (call, pool) = (call(), &upstreams.pool);
         let (flight, dialect) = (Flight::new(&call), UpstreamProtocol::platform());
@@ -561,7 +574,7 @@
     fn a_full_pool_turns_idle_connections_into_new_ones_and_else_sends_nothing() {
         with(1, async |upstreams, listener, to| {
             let (mut first, _) = once(&upstreams, &listener, to).await;
-            // Another upstream, as far as the pool can tell.
+            // The same listener under another server id counts as another upstream.
             let (_second, outcome) = once(&upstreams, &listener, Target { server: 1, ..to }).await;
             assert_eq!((outcome, upstreams.pool.open()), (Outcome::Ok, 1));
             assert_eq!(first.read(&mut [0]).await.expect("an end"), 0);
@@ -576,7 +589,7 @@
         with(9, async |upstreams, listener, to| {
             let (stream, _) = once(&upstreams, &listener, to).await;
             drop(stream);
-            // Nothing was polled since: only a look at the socket itself tells.
+            // The runtime was not polled since, so only the socket itself shows that it is closed.
             assert!(upstreams.pool.take(to).is_none());
         });
     }
@@ -597,7 +610,7 @@
     #[test]
     fn a_request_that_is_not_written_to_its_end_has_not_run() {
         with(9, async |upstreams, listener, to| {
-            // More than the sockets' buffers take of a peer that does not read.
+            // The body is larger than the socket buffers of a peer that does not read.
             let call = Call {
                 method: Method::POST,
                 body: RequestBody::Buffered(vec![0; 32 << 20].into()),
--- a/http/tests/admission.rs
+++ b/http/tests/admission.rs
@@ -1,4 +1,4 @@
-//! What a route says of a request reaches the engine: pool, class, tenant, key, deadline and limits.
+//! The values that a route determines reach the engine: pool, class, tenant, key, deadline and limits.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -21,7 +21,7 @@
 use sloeline_settings::setup::NameTable;
 use tokio::sync::oneshot;
 
-/// Sends nothing.
+/// A transport that sends nothing.
 struct Deaf;
 
 impl Transport for Deaf {
@@ -38,6 +38,7 @@
     fn fetch(&self, _: &Rc<Engine<Self>>) {}
 }
 
+/// Microseconds in a second.
 const SECOND: Micros = 1_000_000;
 
 fn class(effect: Effect) -> fs::Class {
@@ -52,9 +53,10 @@
     }
 }
 
+/// A keyed class that upstreams deduplicate for 10 s.
 const KEYED: Effect = Effect::Keyed { group: DedupGroup::All, window: 10 * SECOND };
 
-/// A pool with one node that knows a safe and a keyed class and two tenants.
+/// Builds a pool with one upstream, a safe and a keyed class, and two tenants.
 fn pool(name: &str, open: usize) -> Rc<Pool<Deaf>> {
     let settings = fs::Settings::new(vec![class(Effect::Safe), class(KEYED)]);
     let engine = Engine::new(settings, &NameTable::default(), 1, Deaf).expect("good settings");
@@ -144,14 +146,14 @@
         admit(&front, "/a", &[("x-class", "look"), ("x-tenant", tenant)]).expect("it is taken").tenant
     };
     assert_eq!((of("gold"), of("tin")), (Some(0), Some(1)));
-    // One that is not known is nobody's, and so is a request that names none.
+    // An unknown tenant and a missing one both count as no tenant.
     assert_eq!(of("lead"), None);
     let silent = admit(&front, "/a", &[("x-class", "look")]).expect("it is taken");
     assert_eq!(silent.tenant, None);
-    // What stands twice is no tenant that anybody could bill.
+    // A repeated tenant header is ambiguous.
     let twice = admit(&front, "/a", &[("x-class", "look"), ("x-tenant", "gold"), ("x-tenant", "tin")]);
     assert_eq!(twice.err(), Some(StatusCode::BAD_REQUEST));
-    // A reload numbers them anew.
+    // A reload can assign other tenant ids.
     p.tenants.borrow_mut().clone_from(&HashMap::from([("tin".to_owned(), 0)]));
     assert_eq!((of("gold"), of("tin")), (None, Some(0)));
 }
@@ -169,7 +171,7 @@
         admit(&front, path, &headers).expect("it is taken")
     };
     assert_eq!(look("/a", None).time_left, 4 * SECOND);
-    // A caller may wait for less, never for more.
+    // A client may shorten the deadline but not extend it.
     assert_eq!(look("/a", Some("250")).time_left, 250_000);
     assert_eq!(look("/a", Some("9000")).time_left, 4 * SECOND);
     assert_eq!(look("/short", Some("9000")).time_left, SECOND);
@@ -178,7 +180,7 @@
     assert_eq!(look("/a", None).response_reservation_bytes, 4096);
     for wrong in ["", "-1", "1.5", "1e3", " 1", "18446744073709551616"] {
         let answer = admit(&front, "/a", &[("x-class", "look"), ("x-wait", wrong)]);
-        // An empty one says nothing.
+        // An empty header counts as missing.
         assert_eq!(answer.err(), (!wrong.is_empty()).then_some(StatusCode::BAD_REQUEST), "{wrong:?}");
     }
     let pull = admit(&front, "/a", &[("x-class", "pull"), ("idempotency-key", "k")]).expect("it is taken");
