--- a/http/src/client_io.rs
+++ b/http/src/client_io.rs
@@ -16,17 +16,17 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-use crate::framing::{Framing, request};
+use crate::framing::{Framing, parse_request_head};
 
 /// A connection that has been idle for less than this time is not closed to make room for others.
-const SPARED: Duration = Duration::from_millis(100);
+const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_millis(100);
 /// Maximum size of a request head in bytes.
-const MOST_HEAD: usize = 16 * 1024;
+const MAX_REQUEST_HEAD_BYTES: usize = 16 * 1024;
 /// Minimum rate of a request body on the platform, in bytes per second. This is half the rate of the platform's
 /// slowest clients.
-const SLOWEST: u64 = 32 * 1000;
+const PLATFORM_MIN_BODY_RATE: u64 = 32 * 1000;
 /// Maximum number of bytes per read from the socket.
-const CHUNK: usize = 16 * 1024;
+const READ_CHUNK_BYTES: usize = 16 * 1024;
 
 /// Time limits for the stages of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -52,16 +52,16 @@
 
 impl Default for StageTimeouts {
     fn default() -> StageTimeouts {
-        let [idle, head, body, silence] = [2000, 2600, 1200, 2000].map(Duration::from_millis);
-        let [stall, stuck] = [6000, 30_000].map(Duration::from_millis);
+        let [idle, head, body, body_silence] = [2000, 2600, 1200, 2000].map(Duration::from_millis);
+        let [upstream_stall, client_stall] = [6000, 30_000].map(Duration::from_millis);
         StageTimeouts {
             idle,
             head,
             body,
-            body_min_rate: SLOWEST,
-            body_silence: silence,
-            upstream_stall: stall,
-            client_stall: stuck,
+            body_min_rate: PLATFORM_MIN_BODY_RATE,
+            body_silence,
+            upstream_stall,
+            client_stall,
         }
     }
 }
@@ -76,36 +76,40 @@
     /// The head was received and the body is being received.
     Body,
     /// The whole request was received and has no response yet.
-    Open,
+    AwaitingResponse,
     /// The response is being streamed.
-    Answering,
+    Responding,
 }
 
 /// Why a request was rejected. The connection cannot be used any more.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Fault {
+pub enum RequestError {
     /// The request is malformed, or its end is not certain.
-    Bad,
+    Malformed,
     /// The head exceeds the size limit.
-    TooLarge,
+    HeadTooLarge,
 }
 
 /// The idle client connections, ordered from the one that has been idle longest.
 pub struct IdleConnections {
-    pace: Cell<StageTimeouts>,
+    timeouts: Cell<StageTimeouts>,
     idle: RefCell<BTreeMap<u64, (Instant, AbortHandle)>>,
-    next: Cell<u64>,
+    next_key: Cell<u64>,
 }
 
 impl IdleConnections {
     /// Creates an empty set.
-    pub fn new(pace: StageTimeouts) -> Rc<IdleConnections> {
-        Rc::new(IdleConnections { pace: Cell::new(pace), idle: RefCell::default(), next: Cell::default() })
+    pub fn new(timeouts: StageTimeouts) -> Rc<IdleConnections> {
+        Rc::new(IdleConnections {
+            timeouts: Cell::new(timeouts),
+            idle: RefCell::default(),
+            next_key: Cell::default(),
+        })
     }
 
     /// Changes the time limits of all connections.
-    pub fn set_pace(&self, pace: StageTimeouts) {
-        self.pace.set(pace);
+    pub fn set_timeouts(&self, timeouts: StageTimeouts) {
+        self.timeouts.set(timeouts);
     }
 
     /// Closes the connection that has been idle longest. The error is the time at which it may be closed, or `None`
@@ -113,9 +117,9 @@
     pub fn close_oldest(&self) -> Result<(), Option<Instant>> {
         let mut idle = self.idle.borrow_mut();
         let oldest = idle.first_entry().ok_or(None)?;
-        let ripe = oldest.get().0 + SPARED;
-        if ripe > Instant::now() {
-            return Err(Some(ripe));
+        let closable_at = oldest.get().0 + MIN_IDLE_BEFORE_EVICTION;
+        if closable_at > Instant::now() {
+            return Err(Some(closable_at));
         }
         oldest.remove().1.abort();
         Ok(())
@@ -123,57 +127,57 @@
 }
 
 /// The state of a client connection, shared by the I/O layer below hyper and the server above it.
-pub struct Progress {
-    crowd: Rc<IdleConnections>,
+pub struct ConnectionState {
+    idle_connections: Rc<IdleConnections>,
     task: RefCell<Option<AbortHandle>>,
     stage: Cell<Stage>,
-    since: Cell<Instant>,
-    first_byte: Cell<Instant>,
+    stage_since: Cell<Instant>,
+    first_byte_at: Cell<Instant>,
     /// Bytes of the request passed to hyper since its head began.
-    passed: Cell<u64>,
+    received_bytes: Cell<u64>,
     /// When the last byte was received, or when reading resumed.
-    came: Cell<Instant>,
+    last_received_at: Cell<Instant>,
     /// Since when hyper has not asked for more input, because the upstream of a streamed body does not accept data.
-    held_up: Cell<Option<Instant>>,
+    blocked_since: Cell<Option<Instant>>,
     /// Total time since the head began during which the upstream accepted no data.
-    held: Cell<Duration>,
+    blocked_total: Cell<Duration>,
     /// How long a streamed request may wait in the queue before it is sent.
-    waits: Cell<Duration>,
-    place: Cell<Option<u64>>,
-    fault: Cell<Option<Fault>>,
+    max_queue_wait: Cell<Duration>,
+    idle_key: Cell<Option<u64>>,
+    error: Cell<Option<RequestError>>,
     chunked: Cell<bool>,
-    unread: Cell<bool>,
-    stuck: Cell<bool>,
+    unread_input: Cell<bool>,
+    write_blocked: Cell<bool>,
     /// When bytes were last written to the client.
-    written: Cell<Instant>,
+    last_write_at: Cell<Instant>,
 }
 
-impl Progress {
+impl ConnectionState {
     /// Creates the state of a new connection.
-    pub fn new(crowd: Rc<IdleConnections>) -> Rc<Progress> {
+    pub fn new(idle_connections: Rc<IdleConnections>) -> Rc<ConnectionState> {
         let now = Instant::now();
-        Rc::new(Progress {
-            crowd,
+        Rc::new(ConnectionState {
+            idle_connections,
             task: RefCell::default(),
-            stage: Cell::new(Stage::Open),
-            since: Cell::new(now),
-            first_byte: Cell::new(now),
-            passed: Cell::default(),
-            came: Cell::new(now),
-            held_up: Cell::default(),
-            held: Cell::default(),
-            waits: Cell::default(),
-            place: Cell::default(),
-            fault: Cell::default(),
+            stage: Cell::new(Stage::AwaitingResponse),
+            stage_since: Cell::new(now),
+            first_byte_at: Cell::new(now),
+            received_bytes: Cell::default(),
+            last_received_at: Cell::new(now),
+            blocked_since: Cell::default(),
+            blocked_total: Cell::default(),
+            max_queue_wait: Cell::default(),
+            idle_key: Cell::default(),
+            error: Cell::default(),
             chunked: Cell::default(),
-            unread: Cell::default(),
-            stuck: Cell::default(),
-            written: Cell::new(now),
+            unread_input: Cell::default(),
+            write_blocked: Cell::default(),
+            last_write_at: Cell::new(now),
         })
     }
 
     /// Sets the connection's task, which is aborted if the idle connection is evicted, and enters the idle stage.
-    pub fn of(&self, task: AbortHandle) {
+    pub fn attach_task(&self, task: AbortHandle) {
         *self.task.borrow_mut() = Some(task);
         self.enter(Stage::Idle);
     }
@@ -187,154 +191,160 @@
     fn enter(&self, stage: Stage) {
         let now = Instant::now();
         if stage == Stage::Head {
-            self.first_byte.set(now);
-            self.passed.set(0);
-            self.held.set(Duration::ZERO);
-            self.waits.set(Duration::ZERO);
+            self.first_byte_at.set(now);
+            self.received_bytes.set(0);
+            self.blocked_total.set(Duration::ZERO);
+            self.max_queue_wait.set(Duration::ZERO);
         }
-        self.held_up.set(None);
+        self.blocked_since.set(None);
         self.stage.set(stage);
-        self.since.set(now);
-        self.leave_crowd();
+        self.stage_since.set(now);
+        self.leave_idle();
         if let (Stage::Idle, Some(task)) = (stage, &*self.task.borrow()) {
-            let place = self.crowd.next.get();
-            self.crowd.next.set(place + 1);
-            self.crowd.idle.borrow_mut().insert(place, (now, task.clone()));
-            self.place.set(Some(place));
+            let key = self.idle_connections.next_key.get();
+            self.idle_connections.next_key.set(key + 1);
+            self.idle_connections.idle.borrow_mut().insert(key, (now, task.clone()));
+            self.idle_key.set(Some(key));
         }
     }
 
     /// Removes the connection from the idle connections.
-    fn leave_crowd(&self) {
-        if let Some(place) = self.place.take() {
-            self.crowd.idle.borrow_mut().remove(&place);
+    fn leave_idle(&self) {
+        if let Some(key) = self.idle_key.take() {
+            self.idle_connections.idle.borrow_mut().remove(&key);
         }
     }
 
     /// Records that bytes of the request were received and passed to hyper.
-    fn came(&self, bytes: u64) {
-        self.passed.set(self.passed.get().saturating_add(bytes));
+    fn record_received(&self, bytes: u64) {
+        self.received_bytes.set(self.received_bytes.get().saturating_add(bytes));
         let now = Instant::now();
-        self.came.set(now);
-        self.held_up.set(Some(now));
+        self.last_received_at.set(now);
+        self.blocked_since.set(Some(now));
     }
 
     /// Records that hyper asks for more input. From here on, a delay is caused by the client.
-    fn asked(&self) {
-        if let Some(since) = self.held_up.take() {
+    fn record_read(&self) {
+        if let Some(since) = self.blocked_since.take() {
             let now = Instant::now();
-            self.held.set(self.held.get() + (now - since));
-            self.came.set(now);
+            self.blocked_total.set(self.blocked_total.get() + (now - since));
+            self.last_received_at.set(now);
         }
     }
 
-    /// Records that the body is streamed. `waits` is how long the request may wait in the queue before it is sent.
-    pub fn passes(&self, waits: Duration) {
-        self.waits.set(waits);
+    /// Records that the body is streamed. `max_queue_wait` is how long the request may wait in the queue before it
+    /// is sent.
+    pub fn start_streaming(&self, max_queue_wait: Duration) {
+        self.max_queue_wait.set(max_queue_wait);
     }
 
     /// Returns whether the body waits for an upstream that accepts no data.
-    pub fn held_up(&self) -> bool {
-        self.stage.get() == Stage::Body && self.held_up.get().is_some()
+    pub fn is_upstream_blocked(&self) -> bool {
+        self.stage.get() == Stage::Body && self.blocked_since.get().is_some()
     }
 
     /// Records that the whole request was received.
-    pub fn taken(&self) {
-        self.unread.set(false);
-        self.enter(Stage::Open);
+    pub fn request_received(&self) {
+        self.unread_input.set(false);
+        self.enter(Stage::AwaitingResponse);
     }
 
     /// Records that the response has begun.
-    pub fn answering(&self) {
-        self.enter(Stage::Answering);
+    pub fn response_started(&self) {
+        self.enter(Stage::Responding);
     }
 
     /// Records that the response has ended. The next request may be parsed.
-    pub fn answered(&self) {
+    pub fn response_finished(&self) {
         self.enter(Stage::Idle);
     }
 
     /// Returns whether the body is chunked. Only hyper knows where such a request ends, so no request may follow it
     /// on this connection.
-    pub fn chunked(&self) -> bool {
+    pub fn is_chunked(&self) -> bool {
         self.chunked.get()
     }
 
     /// Returns when the current stage times out. A request that waits for its response has its own deadline and no
     /// stage timeout.
-    pub fn due(&self) -> Option<Instant> {
-        let pace = self.crowd.pace.get();
+    pub fn stage_deadline(&self) -> Option<Instant> {
+        let timeouts = self.idle_connections.timeouts.get();
         match self.stage.get() {
-            Stage::Idle | Stage::Answering if self.stuck.get() => {
-                Some(self.written.get() + pace.client_stall)
+            Stage::Idle | Stage::Responding if self.write_blocked.get() => {
+                Some(self.last_write_at.get() + timeouts.client_stall)
             }
             // A client that is still reading its last response is not idle yet.
-            Stage::Idle => Some(self.since.get().max(self.written.get()) + pace.idle),
-            Stage::Head => Some(self.first_byte.get() + pace.head),
+            Stage::Idle => Some(self.stage_since.get().max(self.last_write_at.get()) + timeouts.idle),
+            Stage::Head => Some(self.first_byte_at.get() + timeouts.head),
             // This delay is caused by the upstream.
-            Stage::Body if self.held_up() => {
-                self.held_up.get().map(|since| since + pace.upstream_stall.max(self.waits.get()))
-            }
+            Stage::Body if self.is_upstream_blocked() => self
+                .blocked_since
+                .get()
+                .map(|since| since + timeouts.upstream_stall.max(self.max_queue_wait.get())),
             Stage::Body => {
-                let earned = match pace.body_min_rate {
+                let rate_allowance = match timeouts.body_min_rate {
                     0 => Duration::ZERO,
-                    rate => Duration::from_secs_f64(self.passed.get() as f64 / rate as f64),
+                    rate => Duration::from_secs_f64(self.received_bytes.get() as f64 / rate as f64),
                 };
                 // A whole request has at least the time limit of a head.
-                let least = self.first_byte.get() + pace.head;
-                let slow = (self.since.get() + pace.body).max(least) + earned + self.held.get();
-                Some(slow.min((self.came.get() + pace.body_silence).max(least)))
+                let minimum = self.first_byte_at.get() + timeouts.head;
+                let rate_deadline = (self.stage_since.get() + timeouts.body).max(minimum)
+                    + rate_allowance
+                    + self.blocked_total.get();
+                Some(rate_deadline.min((self.last_received_at.get() + timeouts.body_silence).max(minimum)))
+            }
+            Stage::AwaitingResponse => None,
+            Stage::Responding => {
+                Some(self.stage_since.get().max(self.last_write_at.get()) + timeouts.upstream_stall)
             }
-            Stage::Open => None,
-            Stage::Answering => Some(self.since.get().max(self.written.get()) + pace.upstream_stall),
         }
     }
 
     /// Returns why a request was rejected, if one was.
-    pub fn fault(&self) -> Option<Fault> {
-        self.fault.get()
+    pub fn error(&self) -> Option<RequestError> {
+        self.error.get()
     }
 
     /// Returns whether the client may still be sending the request.
-    pub fn unread(&self) -> bool {
-        self.unread.get()
+    pub fn has_unread_input(&self) -> bool {
+        self.unread_input.get()
     }
 
     /// Returns whether an earlier response is not fully written. No error response can follow it.
-    pub fn stuck(&self) -> bool {
-        self.stuck.get()
+    pub fn is_write_blocked(&self) -> bool {
+        self.write_blocked.get()
     }
 }
 
-impl Drop for Progress {
+impl Drop for ConnectionState {
     fn drop(&mut self) {
-        self.leave_crowd();
+        self.leave_idle();
     }
 }
 
 /// What the next input bytes are.
-enum Next {
+enum Expected {
     /// A request head, which must be validated first.
     Head,
     /// This number of bytes is passed to hyper without inspection.
-    Pass(u64),
+    Bytes(u64),
     /// All further bytes are passed to hyper without inspection.
-    All,
+    Rest,
 }
 
 /// The connection between a client's socket and hyper.
 pub struct ClientIo {
     stream: TcpStream,
-    progress: Rc<Progress>,
+    state: Rc<ConnectionState>,
     /// Input that was read from the socket and not yet passed to hyper.
-    held: Vec<u8>,
-    next: Next,
+    buffer: Vec<u8>,
+    expected: Expected,
 }
 
 impl ClientIo {
     /// Wraps a socket from which nothing was read yet.
-    pub fn new(stream: TcpStream, progress: Rc<Progress>) -> ClientIo {
-        ClientIo { stream, progress, held: Vec::new(), next: Next::Head }
+    pub fn new(stream: TcpStream, state: Rc<ConnectionState>) -> ClientIo {
+        ClientIo { stream, state, buffer: Vec::new(), expected: Expected::Head }
     }
 
     /// Returns the socket once hyper has released the connection.
@@ -342,31 +352,31 @@
         self.stream
     }
 
-    /// Reads up to `most` bytes into the buffer. Returns the number of bytes read.
-    fn fill(&mut self, cx: &mut Context<'_>, most: usize) -> Poll<io::Result<usize>> {
-        let mut chunk = [MaybeUninit::uninit(); CHUNK];
-        let mut read = ReadBuf::uninit(&mut chunk[..most.min(CHUNK)]);
+    /// Reads up to `max_bytes` bytes into the buffer. Returns the number of bytes read.
+    fn fill(&mut self, cx: &mut Context<'_>, max_bytes: usize) -> Poll<io::Result<usize>> {
+        let mut chunk = [MaybeUninit::uninit(); READ_CHUNK_BYTES];
+        let mut read = ReadBuf::uninit(&mut chunk[..max_bytes.min(READ_CHUNK_BYTES)]);
         ready!(Pin::new(&mut self.stream).poll_read(cx, &mut read))?;
-        self.held.extend_from_slice(read.filled());
+        self.buffer.extend_from_slice(read.filled());
         Poll::Ready(Ok(read.filled().len()))
     }
 
-    /// Passes buffered input to hyper, up to `most` bytes. Returns the number of bytes passed.
-    fn pass(&mut self, buf: &mut ReadBufCursor<'_>, most: u64) -> u64 {
-        let n = self.held.len().min(buf.remaining()).min(usize::try_from(most).unwrap_or(usize::MAX));
-        buf.put_slice(&self.held[..n]);
-        self.held.drain(..n);
-        if self.held.is_empty() {
-            self.held = Vec::new();
+    /// Passes buffered input to hyper, up to `max_bytes` bytes. Returns the number of bytes passed.
+    fn pass_to_hyper(&mut self, buf: &mut ReadBufCursor<'_>, max_bytes: u64) -> u64 {
+        let n = self.buffer.len().min(buf.remaining()).min(usize::try_from(max_bytes).unwrap_or(usize::MAX));
+        buf.put_slice(&self.buffer[..n]);
+        self.buffer.drain(..n);
+        if self.buffer.is_empty() {
+            self.buffer = Vec::new();
         }
         n as u64
     }
 
     /// Rejects the input. No more input is passed to hyper.
-    fn refuse(&mut self, fault: Fault) -> Poll<io::Result<()>> {
-        self.progress.fault.set(Some(fault));
-        self.progress.unread.set(true);
-        self.held = Vec::new();
+    fn reject(&mut self, error: RequestError) -> Poll<io::Result<()>> {
+        self.state.error.set(Some(error));
+        self.state.unread_input.set(true);
+        self.buffer = Vec::new();
         // Hyper sees the end of the input. The error response is sent after hyper has released the connection.
         Poll::Ready(Ok(()))
     }
@@ -379,66 +389,71 @@
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         let this = &mut *self;
-        if this.progress.fault().is_some() {
+        if this.state.error().is_some() {
             return Poll::Ready(Ok(()));
         }
         loop {
-            match this.next {
-                Next::Head
-                    if matches!(this.progress.stage(), Stage::Body | Stage::Open | Stage::Answering) =>
+            match this.expected {
+                Expected::Head
+                    if matches!(
+                        this.state.stage(),
+                        Stage::Body | Stage::AwaitingResponse | Stage::Responding
+                    ) =>
                 {
                     // Reads on to notice whether the client disconnects. Input that arrives before the response has
                     // ended is buffered.
-                    let room = MOST_HEAD - this.held.len().min(MOST_HEAD);
-                    if room == 0 {
+                    let space = MAX_REQUEST_HEAD_BYTES - this.buffer.len().min(MAX_REQUEST_HEAD_BYTES);
+                    if space == 0 {
                         return Poll::Pending;
                     }
-                    if ready!(this.fill(cx, room))? == 0 {
+                    if ready!(this.fill(cx, space))? == 0 {
                         return Poll::Ready(Ok(()));
                     }
                 }
-                Next::Head => {
-                    if !this.held.is_empty() && this.progress.stage() == Stage::Idle {
-                        this.progress.enter(Stage::Head);
+                Expected::Head => {
+                    if !this.buffer.is_empty() && this.state.stage() == Stage::Idle {
+                        this.state.enter(Stage::Head);
                     }
-                    match request(&this.held) {
-                        Err(()) => return this.refuse(Fault::Bad),
+                    match parse_request_head(&this.buffer) {
+                        Err(()) => return this.reject(RequestError::Malformed),
                         Ok(Some((head, framing))) => {
                             let head = head as u64;
-                            this.progress.chunked.set(framing == Framing::Chunked);
-                            this.progress.unread.set(framing != Framing::Length(0));
-                            this.progress.enter(Stage::Body);
-                            this.next = match framing {
-                                Framing::Length(n) => Next::Pass(head.saturating_add(n)),
-                                Framing::Chunked => Next::All,
+                            this.state.chunked.set(framing == Framing::Chunked);
+                            this.state.unread_input.set(framing != Framing::Length(0));
+                            this.state.enter(Stage::Body);
+                            this.expected = match framing {
+                                Framing::Length(n) => Expected::Bytes(head.saturating_add(n)),
+                                Framing::Chunked => Expected::Rest,
                             };
                         }
-                        Ok(None) if this.held.len() >= MOST_HEAD => return this.refuse(Fault::TooLarge),
+                        Ok(None) if this.buffer.len() >= MAX_REQUEST_HEAD_BYTES => {
+                            return this.reject(RequestError::HeadTooLarge);
+                        }
                         Ok(None) => {
-                            if ready!(this.fill(cx, MOST_HEAD - this.held.len()))? == 0 {
+                            if ready!(this.fill(cx, MAX_REQUEST_HEAD_BYTES - this.buffer.len()))? == 0 {
                                 return Poll::Ready(Ok(()));
                             }
                         }
                     }
                 }
-                Next::Pass(0) => this.next = Next::Head,
-                Next::Pass(n) => {
-                    this.progress.asked();
-                    if this.held.is_empty() && ready!(this.fill(cx, CHUNK))? == 0 {
+                Expected::Bytes(0) => this.expected = Expected::Head,
+                Expected::Bytes(n) => {
+                    this.state.record_read();
+                    if this.buffer.is_empty() && ready!(this.fill(cx, READ_CHUNK_BYTES))? == 0 {
                         return Poll::Ready(Ok(()));
                     }
-                    let passed = this.pass(&mut buf, n);
-                    this.progress.came(passed);
-                    this.next = Next::Pass(n - passed);
+                    let count = this.pass_to_hyper(&mut buf, n);
+                    this.state.record_received(count);
+                    this.expected = Expected::Bytes(n - count);
                     return Poll::Ready(Ok(()));
                 }
-                Next::All => {
-                    this.progress.asked();
-                    if this.held.is_empty() && ready!(this.fill(cx, CHUNK))? == 0 {
+                Expected::Rest => {
+                    this.state.record_read();
+                    if this.buffer.is_empty() && ready!(this.fill(cx, READ_CHUNK_BYTES))? == 0 {
                         return Poll::Ready(Ok(()));
                     }
-                    let passed = this.pass(&mut buf, u64::MAX);
-                    this.progress.came(passed);
+                    let count = this.pass_to_hyper(&mut buf, u64::MAX);
+                    this.state.record_received(count);
                     return Poll::Ready(Ok(()));
                 }
             }
@@ -448,10 +463,10 @@
 
 impl ClientIo {
     /// Records whether a write succeeded or is blocked.
-    fn note<T>(&self, written: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
-        self.progress.stuck.set(written.is_pending());
+    fn record_write<T>(&self, written: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
+        self.state.write_blocked.set(written.is_pending());
         if matches!(written, Poll::Ready(Ok(_))) {
-            self.progress.written.set(Instant::now());
+            self.state.last_write_at.set(Instant::now());
         }
         written
     }
@@ -460,7 +475,7 @@
 impl Write for ClientIo {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.note(written)
+        self.record_write(written)
     }
 
     fn poll_write_vectored(
@@ -469,7 +484,7 @@
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.note(written)
+        self.record_write(written)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -490,70 +505,70 @@
     use super::*;
 
     /// Runs a test with the clock paused.
-    fn paused(test: impl AsyncFnOnce(Rc<Progress>)) {
+    fn with_paused_clock(test: impl AsyncFnOnce(Rc<ConnectionState>)) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
         // The state is created inside the runtime, where the clock is paused.
-        let test = async { test(Progress::new(IdleConnections::new(StageTimeouts::default()))).await };
+        let test = async { test(ConnectionState::new(IdleConnections::new(StageTimeouts::default()))).await };
         runtime.expect("a runtime").block_on(test);
     }
 
-    const HALF: Duration = Duration::from_millis(500);
+    const HALF_SECOND: Duration = Duration::from_millis(500);
 
     #[test]
-    fn a_body_that_comes_slowly_has_its_time_and_one_that_stops_has_not() {
-        paused(async |progress| {
+    fn slow_bodies_are_tolerated_and_stalled_bodies_time_out() {
+        with_paused_clock(async |state| {
             let start = Instant::now();
-            progress.enter(Stage::Head);
-            progress.enter(Stage::Body);
+            state.enter(Stage::Head);
+            state.enter(Stage::Body);
             // 64 kB per second for 20 s.
             for _ in 0..40 {
-                tokio::time::advance(HALF).await;
-                progress.came(32_000);
-                progress.asked();
-                assert!(progress.due().expect("a time") > Instant::now() + HALF);
+                tokio::time::advance(HALF_SECOND).await;
+                state.record_received(32_000);
+                state.record_read();
+                assert!(state.stage_deadline().expect("a deadline") > Instant::now() + HALF_SECOND);
             }
             // A client that sends only a head must get an error within 3 s of connecting.
-            progress.answered();
+            state.response_finished();
             let begun = Instant::now();
-            progress.enter(Stage::Head);
-            progress.enter(Stage::Body);
-            assert!(progress.due().expect("a time") < begun + Duration::from_secs(3));
+            state.enter(Stage::Head);
+            state.enter(Stage::Body);
+            assert!(state.stage_deadline().expect("a deadline") < begun + Duration::from_secs(3));
             // The silence limit also applies after a large amount of data was received.
-            let much = Instant::now();
-            progress.came(2_000_000);
-            progress.asked();
-            assert!(progress.due().expect("a time") < much + Duration::from_secs(3));
+            let burst_at = Instant::now();
+            state.record_received(2_000_000);
+            state.record_read();
+            assert!(state.stage_deadline().expect("a deadline") < burst_at + Duration::from_secs(3));
             assert!(begun > start);
             // While an upstream blocks the body, the stall limit applies. Afterwards the client has its whole
             // silence limit again.
-            let pace = StageTimeouts::default();
-            progress.came(1000);
-            assert!(progress.held_up());
-            assert_eq!(progress.due(), Some(Instant::now() + pace.upstream_stall));
-            tokio::time::advance(10 * HALF).await;
-            progress.asked();
-            assert!(!progress.held_up());
-            assert_eq!(progress.due(), Some(Instant::now() + pace.body_silence));
+            let timeouts = StageTimeouts::default();
+            state.record_received(1000);
+            assert!(state.is_upstream_blocked());
+            assert_eq!(state.stage_deadline(), Some(Instant::now() + timeouts.upstream_stall));
+            tokio::time::advance(10 * HALF_SECOND).await;
+            state.record_read();
+            assert!(!state.is_upstream_blocked());
+            assert_eq!(state.stage_deadline(), Some(Instant::now() + timeouts.body_silence));
         });
     }
 
     #[test]
-    fn one_that_takes_its_answer_slowly_is_not_idle_and_an_upstream_that_stops_is_not_waited_for() {
-        paused(async |progress| {
-            progress.taken();
-            assert_eq!(progress.due(), None);
-            progress.answering();
-            let pace = StageTimeouts::default();
-            assert_eq!(progress.due(), Some(Instant::now() + pace.upstream_stall));
-            tokio::time::advance(HALF).await;
+    fn slow_readers_are_not_idle_and_stalled_upstreams_time_out() {
+        with_paused_clock(async |state| {
+            state.request_received();
+            assert_eq!(state.stage_deadline(), None);
+            state.response_started();
+            let timeouts = StageTimeouts::default();
+            assert_eq!(state.stage_deadline(), Some(Instant::now() + timeouts.upstream_stall));
+            tokio::time::advance(HALF_SECOND).await;
             // A part of the response was written, then the client stopped reading.
-            progress.written.set(Instant::now());
-            progress.stuck.set(true);
-            assert_eq!(progress.due(), Some(Instant::now() + pace.client_stall));
-            progress.answered();
-            assert_eq!(progress.due(), Some(Instant::now() + pace.client_stall));
-            progress.stuck.set(false);
-            assert_eq!(progress.due(), Some(Instant::now() + pace.idle));
+            state.last_write_at.set(Instant::now());
+            state.write_blocked.set(true);
+            assert_eq!(state.stage_deadline(), Some(Instant::now() + timeouts.client_stall));
+            state.response_finished();
+            assert_eq!(state.stage_deadline(), Some(Instant::now() + timeouts.client_stall));
+            state.write_blocked.set(false);
+            assert_eq!(state.stage_deadline(), Some(Instant::now() + timeouts.idle));
         });
     }
 }
--- a/http/src/framing.rs
+++ b/http/src/framing.rs
@@ -4,7 +4,7 @@
 use httparse::{EMPTY_HEADER, Header, Request, Status};
 
 /// Maximum number of header lines in a head.
-const MOST_LINES: usize = 100;
+const MAX_HEADER_LINES: usize = 100;
 
 /// How the length of a body is given.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -17,23 +17,23 @@
 
 /// Parses the head of a request. Returns its length in bytes and the framing of the body, or `None` while the head
 /// is incomplete.
-pub fn request(bytes: &[u8]) -> Result<Option<(usize, Framing)>, ()> {
-    let mut lines = [EMPTY_HEADER; MOST_LINES];
+pub fn parse_request_head(bytes: &[u8]) -> Result<Option<(usize, Framing)>, ()> {
+    let mut lines = [EMPTY_HEADER; MAX_HEADER_LINES];
     let mut head = Request::new(&mut lines);
     match head.parse(bytes).map_err(|_| ())? {
         Status::Partial => Ok(None),
         Status::Complete(end) => {
-            let framing = framing(head.headers)?;
+            let framing = body_framing(head.headers)?;
             // Chunked encoding is new in HTTP/1.1. An older peer would read the chunks as the body itself.
-            let known = head.version == Some(1) || framing != Some(Framing::Chunked);
-            if known { Ok(Some((end, framing.unwrap_or(Framing::Length(0))))) } else { Err(()) }
+            let supported = head.version == Some(1) || framing != Some(Framing::Chunked);
+            if supported { Ok(Some((end, framing.unwrap_or(Framing::Length(0))))) } else { Err(()) }
         }
     }
 }
 
 /// Returns the framing that the header lines give, or `None` if they give none. Conflicting, repeated or malformed
 /// framing headers are errors. This prevents request smuggling.
-pub fn framing(lines: &[Header<'_>]) -> Result<Option<Framing>, ()> {
+pub fn body_framing(lines: &[Header<'_>]) -> Result<Option<Framing>, ()> {
     let named = |name: &'static str| lines.iter().filter(move |l| l.name.eq_ignore_ascii_case(name));
     let mut lengths = named("content-length");
     let mut codings = named("transfer-encoding");
@@ -56,10 +56,10 @@
     use super::*;
 
     #[test]
-    fn only_one_reading_of_a_head_is_taken() {
+    fn heads_with_ambiguous_framing_are_rejected() {
         let read = |lines: &str| {
             let text = format!("POST /api HTTP/1.1\r\nHost: b\r\n{lines}\r\n");
-            request(text.as_bytes()).map(|r| r.map(|(end, framing)| (end == text.len(), framing)))
+            parse_request_head(text.as_bytes()).map(|r| r.map(|(end, framing)| (end == text.len(), framing)))
         };
         for (lines, framing) in [
             ("", Framing::Length(0)),
@@ -87,8 +87,8 @@
         ] {
             assert_eq!(read(lines), Err(()), "{lines:?}");
         }
-        assert_eq!(request(b"POST /api HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n"), Err(()));
-        assert_eq!(request(b"POST /api HTTP/1.1\r\nContent-Le"), Ok(None));
-        assert_eq!(request(b"\0\0\0\0"), Err(()));
+        assert_eq!(parse_request_head(b"POST /api HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n"), Err(()));
+        assert_eq!(parse_request_head(b"POST /api HTTP/1.1\r\nContent-Le"), Ok(None));
+        assert_eq!(parse_request_head(b"\0\0\0\0"), Err(()));
     }
 }
--- a/http/src/frontend.rs
+++ b/http/src/frontend.rs
@@ -40,9 +40,9 @@
     /// Returns whether requests can be served now.
     fn ready(&self) -> bool;
 
-    /// Returns the `Retry-After` value for a refused request. `wish` is the delay that the engine proposes, or 0 if
-    /// it proposes none.
-    fn retry_after(&self, wish: Micros) -> Option<HeaderValue>;
+    /// Returns the `Retry-After` value for a refused request. `proposed_delay` is the delay that the engine
+    /// proposes, or 0 if it proposes none.
+    fn retry_after(&self, proposed_delay: Micros) -> Option<HeaderValue>;
 }
 
 /// Inspects the response to a request of a described operation.
@@ -50,9 +50,9 @@
     /// Returns the id of the operation.
     fn operation(&self) -> u64;
 
-    /// Called when the response of an upstream begins. `took` is the time since the request was submitted to the
+    /// Called when the response of an upstream begins. `elapsed` is the time since the request was submitted to the
     /// engine.
-    fn on_response(self: Box<Self>, status: StatusCode, headers: &HeaderMap, took: Micros);
+    fn on_response(self: Box<Self>, status: StatusCode, headers: &HeaderMap, elapsed: Micros);
 }
 
 /// How to handle an admitted request once its body arrives.
@@ -132,23 +132,23 @@
 
 /// Returns the headers without those that concern only the connection or the message framing.
 pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
-    let named: Vec<&str> = headers
+    let connection_options: Vec<&str> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|v| v.to_str().ok())
         .flat_map(|v| v.split(','))
         .collect();
-    let hop = |name: &HeaderName| {
+    let is_hop_by_hop = |name: &HeaderName| {
         [CONNECTION, CONTENT_LENGTH, EXPECT, TE, TRAILER, TRANSFER_ENCODING, UPGRADE].contains(name)
             || ["keep-alive", "proxy-connection", "srv-load", "srv-declined"].contains(&name.as_str())
-            || named.iter().any(|n| n.trim().eq_ignore_ascii_case(name.as_str()))
+            || connection_options.iter().any(|n| n.trim().eq_ignore_ascii_case(name.as_str()))
     };
-    headers.iter().filter(|(name, _)| !hop(name)).map(|(n, v)| (n.clone(), v.clone())).collect()
+    headers.iter().filter(|(name, _)| !is_hop_by_hop(name)).map(|(n, v)| (n.clone(), v.clone())).collect()
 }
 
 /// Builds a response that the balancer itself generates, with a text body.
-pub fn text_response(status: StatusCode, why: impl Into<Bytes>) -> ClientResponse {
-    let mut response = Response::new(why.into().into());
+pub fn text_response(status: StatusCode, reason: impl Into<Bytes>) -> ClientResponse {
+    let mut response = Response::new(reason.into().into());
     *response.status_mut() = status;
     response
 }
--- a/http/src/lib.rs
+++ b/http/src/lib.rs
@@ -18,4 +18,4 @@
 /// buffered, the request can still be retried on another upstream. Larger responses are streamed.
 pub const MAX_BUFFERED_BYTES: usize = 64 * 1024;
 /// Maximum number of bytes read ahead of a message, in bytes. A longer head is rejected.
-const MOST_HEAD: usize = 64 * 1024;
+const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
--- a/http/src/payload.rs
+++ b/http/src/payload.rs
@@ -41,44 +41,50 @@
     first: Option<Bytes>,
     rest: Incoming,
     /// Maximum number of bytes that the rest may still have.
-    most: u64,
-    ends: Vec<Box<dyn FnOnce(BodyEnd)>>,
+    max_rest: u64,
+    end_callbacks: Vec<Box<dyn FnOnce(BodyEnd)>>,
 }
 
 impl fmt::Debug for StreamingBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("StreamingBody").field("most", &self.most).finish_non_exhaustive()
+        f.debug_struct("StreamingBody").field("max_rest", &self.max_rest).finish_non_exhaustive()
     }
 }
 
 impl StreamingBody {
-    /// Creates a streamed body. `first` is the part that was already read, and `rest` may have at most `most` bytes.
-    pub fn new(first: Bytes, rest: Incoming, most: u64) -> StreamingBody {
-        StreamingBody { first: Some(first).filter(|f| !f.is_empty()), rest, most, ends: Vec::new() }
+    /// Creates a streamed body. `first` is the part that was already read, and `rest` may have at most `max_rest`
+    /// bytes.
+    pub fn new(first: Bytes, rest: Incoming, max_rest: u64) -> StreamingBody {
+        StreamingBody {
+            first: Some(first).filter(|f| !f.is_empty()),
+            rest,
+            max_rest,
+            end_callbacks: Vec::new(),
+        }
     }
 
-    /// Calls `tell` once when the body ends, also if it is dropped before.
-    pub fn on_end(&mut self, tell: impl FnOnce(BodyEnd) + 'static) {
-        self.ends.push(Box::new(tell));
+    /// Calls `callback` once when the body ends, also if it is dropped before.
+    pub fn on_end(&mut self, callback: impl FnOnce(BodyEnd) + 'static) {
+        self.end_callbacks.push(Box::new(callback));
     }
 
-    /// Ends the body if its last frame was read. Nobody polls for another frame of a body of known length.
+    /// Ends the body if its last frame was read. The receiver does not poll a body of known length again.
     fn end_if_last(&mut self) {
         if self.rest.is_end_stream() {
-            self.end(BodyEnd::Complete);
+            self.finish(BodyEnd::Complete);
         }
     }
 
-    fn end(&mut self, how: BodyEnd) {
-        for tell in self.ends.drain(..) {
-            tell(how);
+    fn finish(&mut self, end: BodyEnd) {
+        for callback in self.end_callbacks.drain(..) {
+            callback(end);
         }
     }
 }
 
 impl Drop for StreamingBody {
     fn drop(&mut self) {
-        self.end(BodyEnd::Abandoned);
+        self.finish(BodyEnd::Abandoned);
     }
 }
 
@@ -99,23 +105,23 @@
         // connection.
         let failed = match ready!(Pin::new(&mut this.rest).poll_frame(cx)) {
             None => {
-                this.end(BodyEnd::Complete);
+                this.finish(BodyEnd::Complete);
                 return Poll::Ready(None);
             }
             Some(Ok(frame)) => {
                 let length = frame.data_ref().map_or(0, |data| data.len() as u64);
-                match this.most.checked_sub(length) {
-                    Some(most) => {
-                        this.most = most;
+                match this.max_rest.checked_sub(length) {
+                    Some(max_rest) => {
+                        this.max_rest = max_rest;
                         this.end_if_last();
                         return Poll::Ready(Some(Ok(frame)));
                     }
-                    None => io::Error::other("it is longer than it may be"),
+                    None => io::Error::other("the body exceeds the size limit"),
                 }
             }
             Some(Err(e)) => io::Error::other(e),
         };
-        this.end(BodyEnd::Failed);
+        this.finish(BodyEnd::Failed);
         Poll::Ready(Some(Err(failed)))
     }
 
@@ -125,11 +131,11 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        let here = self.first.as_ref().map_or(0, |first| first.len() as u64);
+        let first_length = self.first.as_ref().map_or(0, |first| first.len() as u64);
         let rest = self.rest.size_hint();
         let mut hint = SizeHint::new();
-        hint.set_lower(rest.lower().saturating_add(here));
-        if let Some(upper) = rest.upper().and_then(|upper| upper.checked_add(here)) {
+        hint.set_lower(rest.lower().saturating_add(first_length));
+        if let Some(upper) = rest.upper().and_then(|upper| upper.checked_add(first_length)) {
             hint.set_upper(upper);
         }
         hint
@@ -145,22 +151,22 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         match self.get_mut() {
-            Payload::Buffered(whole) => Pin::new(whole).poll_frame(cx).map_err(|never| match never {}),
-            Payload::Streaming(passing) => Pin::new(&mut **passing).poll_frame(cx),
+            Payload::Buffered(buffered) => Pin::new(buffered).poll_frame(cx).map_err(|never| match never {}),
+            Payload::Streaming(streaming) => Pin::new(&mut **streaming).poll_frame(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Payload::Buffered(whole) => whole.is_end_stream(),
-            Payload::Streaming(passing) => passing.is_end_stream(),
+            Payload::Buffered(buffered) => buffered.is_end_stream(),
+            Payload::Streaming(streaming) => streaming.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Payload::Buffered(whole) => whole.size_hint(),
-            Payload::Streaming(passing) => passing.size_hint(),
+            Payload::Buffered(buffered) => buffered.size_hint(),
+            Payload::Streaming(streaming) => streaming.size_hint(),
         }
     }
 }
--- a/http/src/pool.rs
+++ b/http/src/pool.rs
@@ -25,40 +25,41 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{Instant, sleep_until, timeout};
 
-use crate::MOST_HEAD;
+use crate::MAX_READ_AHEAD_BYTES;
 use crate::upload::OutgoingBody;
 
 /// Idle connections are closed after this share of the upstreams' own idle timeout, so that a request does not meet
 /// a connection that the upstream is closing.
-const KEEP: f64 = 0.7;
+const IDLE_TIMEOUT_SHARE: f64 = 0.7;
 /// Idle timeout of a connection if the settings have none.
-const KEEP_UNTOLD: Duration = Duration::from_secs(3);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Timeout of a connection attempt if the settings have none, and of a whole health probe.
-pub const CONNECT_UNTOLD: Duration = Duration::from_secs(1);
+pub const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+
 /// The socket below hyper. The pool can inspect it while hyper uses it, and it counts the bytes written.
 struct Socket {
     stream: Rc<RefCell<TokioIo<TcpStream>>>,
     written: Rc<Cell<u64>>,
-    _place: Permit,
-    _leaves: Leaves,
+    _permit: Permit,
+    _release_guard: ReleaseGuard,
 }
 
-/// Keeps the count of released connections whose sockets are still open.
-struct Leaves {
-    given_up: Rc<Cell<bool>>,
-    leaving: Rc<Cell<usize>>,
+/// Decrements the number of released connections when the socket of a released connection is closed.
+struct ReleaseGuard {
+    released: Rc<Cell<bool>>,
+    closing_count: Rc<Cell<usize>>,
 }
 
-impl Drop for Leaves {
+impl Drop for ReleaseGuard {
     fn drop(&mut self) {
-        if self.given_up.replace(false) {
-            self.leaving.set(self.leaving.get() - 1);
+        if self.released.replace(false) {
+            self.closing_count.set(self.closing_count.get() - 1);
         }
     }
 }
 
 impl Socket {
-    fn count(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+    fn count_written(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if let Poll::Ready(Ok(n)) = written {
             self.written.set(self.written.get() + n as u64);
         }
@@ -75,7 +76,7 @@
 impl Write for Socket {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut *self.stream.borrow_mut()).poll_write(cx, buf);
-        self.count(written)
+        self.count_written(written)
     }
 
     fn poll_write_vectored(
@@ -84,7 +85,7 @@
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut *self.stream.borrow_mut()).poll_write_vectored(cx, bufs);
-        self.count(written)
+        self.count_written(written)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -109,7 +110,7 @@
     stream: Weak<RefCell<TokioIo<TcpStream>>>,
     /// Bytes written to the connection so far.
     pub written: Rc<Cell<u64>>,
-    given_up: Rc<Cell<bool>>,
+    released: Rc<Cell<bool>>,
     address: SocketAddr,
 }
 
@@ -117,7 +118,7 @@
     /// Returns whether the connection is open and has no unexpected input. This asks the kernel, because the runtime
     /// may not have polled the socket since the upstream closed it, and a request on a closed connection would end
     /// in a reset.
-    fn fresh(&self) -> bool {
+    fn is_reusable(&self) -> bool {
         let Some(stream) = self.stream.upgrade() else { return false };
         let mut byte = [MaybeUninit::uninit()];
         let stream = stream.borrow();
@@ -132,47 +133,47 @@
     }
 }
 
-/// An idle connection and the time since when it has been idle.
-struct Idle {
+/// A connection in the pool and when it became idle.
+struct IdleConn {
     conn: Conn,
     since: Instant,
 }
 
 /// The idle connections by upstream, in the order in which they became idle.
 #[derive(Default)]
-struct Idles {
-    of: HashMap<ServerId, Vec<Idle>>,
-    /// One entry for each upstream in `of`, with a lower bound for the time since when its oldest connection has
-    /// been idle. With thousands of upstreams, this avoids scanning all of them for each expired connection.
+struct IdleByUpstream {
+    by_upstream: HashMap<ServerId, Vec<IdleConn>>,
+    /// One entry for each upstream in `by_upstream`: a time at or before which its oldest connection became idle.
+    /// With thousands of upstreams, this avoids scanning all of them for each expired connection.
     oldest: BinaryHeap<Reverse<(Instant, ServerId)>>,
 }
 
-impl Idles {
-    fn put(&mut self, server: ServerId, idle: Idle) {
-        let list = self.of.entry(server).or_insert_with(|| {
+impl IdleByUpstream {
+    fn put(&mut self, server: ServerId, idle: IdleConn) {
+        let list = self.by_upstream.entry(server).or_insert_with(|| {
             self.oldest.push(Reverse((idle.since, server)));
             Vec::new()
         });
         list.push(idle);
     }
 
-    /// Returns the connection that has been idle longest: the time since when, and its upstream. Connections that
-    /// were closed by their upstream are dropped.
+    /// Returns when the connection that has been idle longest became idle, and its upstream. Connections that were
+    /// closed by their upstream are dropped.
     fn oldest(&mut self) -> Option<(Instant, ServerId)> {
         loop {
             let mut first = self.oldest.peek_mut()?;
             let Reverse((since, server)) = *first;
-            let Some(list) = self.of.get_mut(&server) else {
+            let Some(list) = self.by_upstream.get_mut(&server) else {
                 PeekMut::pop(first);
                 continue;
             };
             list.retain(|i| !i.conn.sender.is_closed());
             match list.first().map(|i| i.since) {
-                Some(now) if now == since => return Some((since, server)),
-                Some(now) => *first = Reverse((now, server)),
+                Some(actual) if actual == since => return Some((since, server)),
+                Some(actual) => *first = Reverse((actual, server)),
                 None => {
                     PeekMut::pop(first);
-                    self.of.remove(&server);
+                    self.by_upstream.remove(&server);
                 }
             }
         }
@@ -181,7 +182,7 @@
     /// Closes the connection that has been idle longest. Returns whether there was an idle connection.
     fn close_oldest(&mut self) -> bool {
         let Some((_, server)) = self.oldest() else { return false };
-        if let Some(list) = self.of.get_mut(&server) {
+        if let Some(list) = self.by_upstream.get_mut(&server) {
             list.remove(0);
         }
         true
@@ -190,41 +191,44 @@
 
 /// The idle connections, and the limit on all connections.
 pub struct Pool {
-    idle: RefCell<Idles>,
-    places: Rc<Share>,
+    idle: RefCell<IdleByUpstream>,
+    connection_budget: Rc<Share>,
     /// Number of released connections whose sockets the runtime has not closed yet.
-    leaving: Rc<Cell<usize>>,
-    keep: Cell<Duration>,
+    closing_count: Rc<Cell<usize>>,
+    idle_timeout: Cell<Duration>,
     connect_timeout: Cell<Duration>,
-    filled: Notify,
-    changed: Notify,
+    became_nonempty: Notify,
+    timeout_changed: Notify,
     /// The number of the last attempt. It starts at a random value in each process.
     attempts: Cell<u64>,
 }
 
 impl Pool {
-    /// Creates an empty pool. `places` limits the number of connections.
-    pub fn new(limits: &fs::Limits, places: Rc<Share>) -> Pool {
+    /// Creates an empty pool. `connection_budget` limits the number of connections.
+    pub fn new(limits: &fs::Limits, connection_budget: Rc<Share>) -> Pool {
         let pool = Pool {
             idle: RefCell::default(),
-            places,
-            leaving: Rc::default(),
-            keep: Cell::default(),
+            connection_budget,
+            closing_count: Rc::default(),
+            idle_timeout: Cell::default(),
             connect_timeout: Cell::default(),
-            filled: Notify::new(),
-            changed: Notify::new(),
+            became_nonempty: Notify::new(),
+            timeout_changed: Notify::new(),
             attempts: Cell::new(fastrand::u64(..)),
         };
-        pool.set(limits);
+        pool.set_limits(limits);
         pool
     }
 
     /// Changes the idle timeout and the connect timeout.
-    pub fn set(&self, limits: &fs::Limits) {
-        let span = |micros, untold| if micros == 0 { untold } else { Duration::from_micros(micros) };
-        self.keep.set(span((limits.idle_close as f64 * KEEP) as Micros, KEEP_UNTOLD));
-        self.connect_timeout.set(span(limits.connect_timeout, CONNECT_UNTOLD));
-        self.changed.notify_one();
+    pub fn set_limits(&self, limits: &fs::Limits) {
+        let duration_or = |micros, default| if micros == 0 { default } else { Duration::from_micros(micros) };
+        self.idle_timeout.set(duration_or(
+            (limits.idle_close as f64 * IDLE_TIMEOUT_SHARE) as Micros,
+            DEFAULT_IDLE_TIMEOUT,
+        ));
+        self.connect_timeout.set(duration_or(limits.connect_timeout, DEFAULT_CONNECT_TIMEOUT));
+        self.timeout_changed.notify_one();
     }
 
     /// Returns the number for the next attempt.
@@ -236,13 +240,13 @@
 
     /// Returns the number of open connections.
     #[cfg(test)]
-    pub fn open(&self) -> usize {
-        self.places.used()
+    pub fn open_connections(&self) -> usize {
+        self.connection_budget.used()
     }
 
     /// Closes the idle connections to an upstream.
     pub fn close_idle(&self, server: ServerId) {
-        if let Some(list) = self.idle.borrow_mut().of.get_mut(&server) {
+        if let Some(list) = self.idle.borrow_mut().by_upstream.get_mut(&server) {
             list.clear();
         }
     }
@@ -250,9 +254,9 @@
     /// Takes the most recently used idle connection that can be reused.
     pub fn take(&self, to: Target) -> Option<Conn> {
         let mut idle = self.idle.borrow_mut();
-        let list = idle.of.get_mut(&to.server)?;
-        while let Some(Idle { conn, since }) = list.pop() {
-            if conn.address == to.address && since.elapsed() < self.keep.get() && conn.fresh() {
+        let list = idle.by_upstream.get_mut(&to.server)?;
+        while let Some(IdleConn { conn, since }) = list.pop() {
+            if conn.address == to.address && since.elapsed() < self.idle_timeout.get() && conn.is_reusable() {
                 return Some(conn);
             }
         }
@@ -262,19 +266,19 @@
     /// Puts a connection back for the next request to this upstream.
     pub fn put(&self, server: ServerId, conn: Conn) {
         // While the shared reserve is scarce, borrowed connections are closed so that other pools can use them.
-        if self.places.should_release(self.leaving.get()) {
+        if self.connection_budget.should_release(self.closing_count.get()) {
             // Counts the connection as released only while its socket exists, because dropping the socket ends the
             // count.
-            if conn.stream.upgrade().is_some() && !conn.given_up.replace(true) {
-                self.leaving.set(self.leaving.get() + 1);
+            if conn.stream.upgrade().is_some() && !conn.released.replace(true) {
+                self.closing_count.set(self.closing_count.get() + 1);
             }
             return;
         }
         let mut idle = self.idle.borrow_mut();
-        let first = idle.oldest.is_empty();
-        idle.put(server, Idle { conn, since: Instant::now() });
-        if first {
-            self.filled.notify_one();
+        let was_empty = idle.oldest.is_empty();
+        idle.put(server, IdleConn { conn, since: Instant::now() });
+        if was_empty {
+            self.became_nonempty.notify_one();
         }
     }
 
@@ -286,9 +290,9 @@
     pub async fn connect(&self, address: SocketAddr) -> Result<Conn, Outcome> {
         // Keeps the limit on file descriptors: an idle connection is closed to make room, or else the attempt is not
         // sent.
-        let place = loop {
-            if let Some(place) = self.places.acquire(1) {
-                break place;
+        let permit = loop {
+            if let Some(permit) = self.connection_budget.acquire(1) {
+                break permit;
             }
             if !self.close_oldest() {
                 return Err(Outcome::NotSent);
@@ -298,7 +302,7 @@
         };
         let stream = match timeout(self.connect_timeout.get(), TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
-            Ok(Err(e)) if out_of_sockets(&e) => {
+            Ok(Err(e)) if is_local_exhaustion(&e) => {
                 self.close_oldest();
                 return Err(Outcome::NotSent);
             }
@@ -307,21 +311,26 @@
         let _ = stream.set_nodelay(true);
         let stream = Rc::new(RefCell::new(TokioIo::new(stream)));
         let written = Rc::new(Cell::new(0));
-        let given_up = Rc::new(Cell::new(false));
-        let leaves = Leaves { given_up: given_up.clone(), leaving: self.leaving.clone() };
-        let socket =
-            Socket { stream: stream.clone(), written: written.clone(), _place: place, _leaves: leaves };
+        let released = Rc::new(Cell::new(false));
+        let release_guard =
+            ReleaseGuard { released: released.clone(), closing_count: self.closing_count.clone() };
+        let socket = Socket {
+            stream: stream.clone(),
+            written: written.clone(),
+            _permit: permit,
+            _release_guard: release_guard,
+        };
         let stream = Rc::downgrade(&stream);
         let (sender, connection) = http1::Builder::new()
             // A longer response head is rejected.
-            .max_buf_size(MOST_HEAD)
+            .max_buf_size(MAX_READ_AHEAD_BYTES)
             .handshake(socket)
             .await
             .map_err(|_| Outcome::ConnectFailed)?;
         let driver = spawn_local(async move {
             let _ = connection.await;
         });
-        Ok(Conn { sender, driver: driver.abort_handle(), stream, written, given_up, address })
+        Ok(Conn { sender, driver: driver.abort_handle(), stream, written, released, address })
     }
 
     /// Closes connections that have been idle too long. A single timer serves all connections.
@@ -331,18 +340,20 @@
                 let mut idle = self.idle.borrow_mut();
                 loop {
                     match idle.oldest() {
-                        Some((since, _)) if since.elapsed() >= self.keep.get() => _ = idle.close_oldest(),
-                        other => break other.map(|(since, _)| since),
+                        Some((since, _)) if since.elapsed() >= self.idle_timeout.get() => {
+                            _ = idle.close_oldest()
+                        }
+                        oldest => break oldest.map(|(since, _)| since),
                     }
                 }
             };
             match oldest {
                 Some(since) => tokio::select! {
-                    () = sleep_until(since + self.keep.get()) => {}
+                    () = sleep_until(since + self.idle_timeout.get()) => {}
                     // The idle timeout may have changed.
-                    () = self.changed.notified() => {}
+                    () = self.timeout_changed.notified() => {}
                 },
-                None => self.filled.notified().await,
+                None => self.became_nonempty.notified().await,
             }
         }
     }
@@ -350,7 +361,7 @@
 
 /// Returns whether a connect error means that this process or machine lacks file descriptors, ports or buffers. The
 /// upstream is not at fault then.
-fn out_of_sockets(e: &io::Error) -> bool {
+fn is_local_exhaustion(e: &io::Error) -> bool {
     // EMFILE, ENFILE, ENOBUFS, EADDRNOTAVAIL.
     matches!(e.raw_os_error(), Some(24 | 23 | 105 | 99))
 }
--- a/http/src/routed.rs
+++ b/http/src/routed.rs
@@ -29,7 +29,7 @@
 const FORWARDED_FOR: HeaderName = HeaderName::from_static("x-forwarded-for");
 /// Headers by which some servers override the method of the request. The route is matched by the method in the
 /// request line.
-const OVERRIDES: [HeaderName; 3] = [
+const METHOD_OVERRIDE_HEADERS: [HeaderName; 3] = [
     HeaderName::from_static("x-http-method-override"),
     HeaderName::from_static("x-http-method"),
     HeaderName::from_static("x-method-override"),
@@ -80,15 +80,15 @@
 }
 
 /// Resources that a request holds in a pool, from its head to its response.
-struct InHand<W: Transport> {
+struct RequestGuard<W: Transport> {
     _pool: Rc<Pool<W>>,
     _class: AdmittedGuard,
-    _place: Permit,
+    _open_request: Permit,
 }
 
-impl<W: Transport> InHand<W> {
-    fn new(pool: &Rc<Pool<W>>, class: fs::ClassId, place: Permit) -> InHand<W> {
-        InHand { _pool: pool.clone(), _class: pool.admitted.count(class), _place: place }
+impl<W: Transport> RequestGuard<W> {
+    fn new(pool: &Rc<Pool<W>>, class: fs::ClassId, permit: Permit) -> RequestGuard<W> {
+        RequestGuard { _pool: pool.clone(), _class: pool.admitted.count(class), _open_request: permit }
     }
 }
 
@@ -131,7 +131,7 @@
     /// Returns whether responses have shown that a retry is less safe than described.
     fn is_narrowed(&self) -> bool;
     /// Inspects a response. Returns true if this response narrows the operation.
-    fn observe(&self, seen: &ObservedResponse<'_>) -> bool;
+    fn observe(&self, response: &ObservedResponse<'_>) -> bool;
 }
 
 /// The described operation of a route.
@@ -154,14 +154,14 @@
         self.operation.id()
     }
 
-    fn on_response(self: Box<Self>, status: StatusCode, headers: &HeaderMap, took: Micros) {
-        let seen = ObservedResponse { key: self.key.as_deref(), status, headers, elapsed: took };
-        if self.operation.observe(&seen) {
+    fn on_response(self: Box<Self>, status: StatusCode, headers: &HeaderMap, elapsed: Micros) {
+        let response = ObservedResponse { key: self.key.as_deref(), status, headers, elapsed };
+        if self.operation.observe(&response) {
             // Requests of the operation that are open in any of the route's pools must not be retried any more.
             self.service
                 .route_pools
                 .iter()
-                .for_each(|side| side.pool.engine.forbid_retry(self.operation.id()));
+                .for_each(|route_pool| route_pool.pool.engine.forbid_retry(self.operation.id()));
         }
     }
 }
@@ -203,25 +203,25 @@
 /// A frontend whose routes can be replaced. Requests that are already admitted keep the routes by which they were
 /// admitted.
 pub struct RoutedFrontend<W: Transport> {
-    now: RefCell<Rc<Routes<W>>>,
+    current: RefCell<Rc<Routes<W>>>,
 }
 
 impl<W: Transport> RoutedFrontend<W> {
     /// Creates a frontend with these routes.
     pub fn new(routes: Routes<W>) -> RoutedFrontend<W> {
-        RoutedFrontend { now: RefCell::new(Rc::new(routes)) }
+        RoutedFrontend { current: RefCell::new(Rc::new(routes)) }
     }
 
     /// Replaces the routes for subsequent requests. Returns the previous routes unless a request is being admitted
     /// by them, so that the caller can choose when to drop them, which is costly.
     #[must_use]
     pub fn replace_routes(&self, routes: Routes<W>) -> Option<Routes<W>> {
-        Rc::into_inner(self.now.replace(Rc::new(routes)))
+        Rc::into_inner(self.current.replace(Rc::new(routes)))
     }
 }
 
 /// Looks up a header that must have at most one value. Several values or a value that is not text are ambiguous.
-pub fn seen(headers: &HeaderMap, name: &str) -> pattern::FieldValue {
+pub fn single_header(headers: &HeaderMap, name: &str) -> pattern::FieldValue {
     let mut values = headers.get_all(name).iter();
     match (values.next(), values.next()) {
         (None, _) => pattern::FieldValue::Missing,
@@ -233,8 +233,8 @@
 }
 
 /// Parses the target of a request into its normal form.
-pub fn target(head: &Parts) -> Result<Target, TargetError> {
-    let host = match seen(&head.headers, HOST.as_str()) {
+pub fn parse_target(head: &Parts) -> Result<Target, TargetError> {
+    let host = match single_header(&head.headers, HOST.as_str()) {
         pattern::FieldValue::Single(host) => Some(host),
         // RFC 9112 section 3.2: only HTTP/1.0 requests may omit the Host header.
         pattern::FieldValue::Missing if head.version == Version::HTTP_10 => None,
@@ -252,38 +252,38 @@
 
 /// Returns the path and query in normal form. A target that is already in that form, as most are, is not parsed
 /// again.
-fn forwarded(target: &Target, came: &Uri) -> Option<Uri> {
-    match came.path_and_query() {
+fn forwarded_uri(target: &Target, received: &Uri) -> Option<Uri> {
+    match received.path_and_query() {
         Some(path) if path.path() == target.path.as_str() => Some(path.clone().into()),
         _ => target.path_and_query().parse().ok(),
     }
 }
 
 /// Builds a 400 response with this reason.
-fn bad(why: impl Into<String>) -> ClientResponse {
-    text_response(StatusCode::BAD_REQUEST, why.into())
+fn bad_request(reason: impl Into<String>) -> ClientResponse {
+    text_response(StatusCode::BAD_REQUEST, reason.into())
 }
 
 /// Extracts a value from a request, or `None` if the request does not contain the value.
-fn told(
+fn extract(
     source: &Source,
     request: &Request<'_>,
     headers: &HeaderMap,
 ) -> Result<Option<String>, ClientResponse> {
-    let twice = |what: &str| bad(format!("{what} stands twice or is no text"));
-    let seen = match source {
+    let ambiguous = |what: &str| bad_request(format!("{what} stands twice or is no text"));
+    let field = match source {
         Source::Fixed(value) => return Ok(Some(value.clone())),
-        Source::Header(name) => (seen(headers, name.as_str()), name.to_string()),
+        Source::Header(name) => (single_header(headers, name.as_str()), name.to_string()),
         Source::Query(name) => (request.field_value(&ConditionSource::Query(name.clone())), name.clone()),
-        Source::Segment(at) => {
-            let segment = request.target.path.segment(*at).map(percent_decode).transpose();
-            return segment.map_err(|why| bad(why.to_string()));
+        Source::Segment(index) => {
+            let segment = request.target.path.segment(*index).map(percent_decode).transpose();
+            return segment.map_err(|reason| bad_request(reason.to_string()));
         }
     };
-    match seen {
+    match field {
         (pattern::FieldValue::Missing, _) => Ok(None),
         (pattern::FieldValue::Single(value), _) => Ok(Some(value).filter(|v| !v.is_empty())),
-        (pattern::FieldValue::Ambiguous, what) => Err(twice(&what)),
+        (pattern::FieldValue::Ambiguous, what) => Err(ambiguous(&what)),
     }
 }
 
@@ -291,9 +291,9 @@
     type EngineTransport = W;
 
     fn admit(&self, head: &Parts, peer: SocketAddr) -> Result<Admission<W>, ClientResponse> {
-        let routes = self.now.borrow().clone();
-        let target = target(head).map_err(|why| bad(why.to_string()))?;
-        let header = |name: &str| seen(&head.headers, name);
+        let routes = self.current.borrow().clone();
+        let target = parse_target(head).map_err(|reason| bad_request(reason.to_string()))?;
+        let header = |name: &str| single_header(&head.headers, name);
         let request = Request { method: head.method.as_str(), target: &target, header: &header };
         let (route, service) = match routes.table.find(&request) {
             Ok(at) => {
@@ -304,60 +304,66 @@
                 routes.unrouted_requests.set(routes.unrouted_requests.get() + 1);
                 return Err(text_response(StatusCode::NOT_FOUND, "no such route"));
             }
-            Err(NoRoute::Ambiguous(place)) => return Err(bad(format!("{place} stands twice or is no text"))),
+            Err(NoRoute::Ambiguous(place)) => {
+                return Err(bad_request(format!("{place} stands twice or is no text")));
+            }
             Err(NoRoute::MethodNotAllowed(methods)) => {
                 routes.unrouted_requests.set(routes.unrouted_requests.get() + 1);
-                let mut answer = text_response(StatusCode::METHOD_NOT_ALLOWED, "no route for this method");
+                let mut response = text_response(StatusCode::METHOD_NOT_ALLOWED, "no route for this method");
                 if let Ok(methods) = HeaderValue::from_str(&methods.join(", ")) {
-                    answer.headers_mut().insert(ALLOW, methods);
+                    response.headers_mut().insert(ALLOW, methods);
                 }
-                return Err(answer);
+                return Err(response);
             }
         };
-        let number_of_class = match (&service.class_header, &service.described) {
+        let class_index = match (&service.class_header, &service.described) {
             // Evidence from responses takes precedence over the description.
             (_, Some(described)) if described.operation.is_narrowed() => described.narrowed_class,
             (None, _) => 0,
             (Some(name), _) => {
-                let named = told(&Source::Header(name.clone()), &request, &head.headers)?;
-                let at = named.and_then(|n| service.classes.iter().position(|c| c.name == n));
-                at.ok_or_else(|| bad(format!("{name} names no class of this route")))?
+                let class_name = extract(&Source::Header(name.clone()), &request, &head.headers)?;
+                let at = class_name.and_then(|n| service.classes.iter().position(|c| c.name == n));
+                at.ok_or_else(|| bad_request(format!("{name} names no class of this route")))?
             }
         };
-        let Some(class) = service.classes.get(number_of_class) else {
+        let Some(class) = service.classes.get(class_index) else {
             return Err(text_response(StatusCode::NOT_FOUND, "a route without a class"));
         };
         // The upstream could run another operation than the one that the class was chosen for.
-        if class.effect != Effect::Unsafe && OVERRIDES.iter().any(|name| head.headers.contains_key(name)) {
-            return Err(bad("a method override on a route that may be repeated"));
+        if class.effect != Effect::Unsafe
+            && METHOD_OVERRIDE_HEADERS.iter().any(|name| head.headers.contains_key(name))
+        {
+            return Err(bad_request("a method override on a route that may be repeated"));
         }
-        let key = service.key.as_ref().map(|s| told(s, &request, &head.headers)).transpose()?.flatten();
+        let key = service.key.as_ref().map(|s| extract(s, &request, &head.headers)).transpose()?.flatten();
         if matches!(class.effect, Effect::Keyed { .. }) && key.is_none() {
-            return Err(bad("a keyed request without its key"));
+            return Err(bad_request("a keyed request without its key"));
         }
-        let tenant = service.tenant.as_ref().map(|s| told(s, &request, &head.headers)).transpose()?.flatten();
-        let waits = routes
+        let tenant =
+            service.tenant.as_ref().map(|s| extract(s, &request, &head.headers)).transpose()?.flatten();
+        let client_wait = routes
             .deadline_header
             .as_ref()
-            .map(|n| told(&Source::Header(n.clone()), &request, &head.headers));
-        let waits = match waits.transpose()?.flatten() {
+            .map(|n| extract(&Source::Header(n.clone()), &request, &head.headers));
+        let client_wait = match client_wait.transpose()?.flatten() {
             None => Micros::MAX,
-            Some(text) => {
-                parse_digits(&text).ok_or_else(|| bad("the deadline is no number"))?.saturating_mul(1000)
-            }
+            Some(text) => parse_digits(&text)
+                .ok_or_else(|| bad_request("the deadline is no number"))?
+                .saturating_mul(1000),
         };
-        let side = match &service.split {
+        let pool_index = match &service.split {
             None => 0,
-            Some((split, stick)) => {
-                let value = stick.as_ref().map(|s| told(s, &request, &head.headers)).transpose()?.flatten();
+            Some((split, sticky)) => {
+                let value =
+                    sticky.as_ref().map(|s| extract(s, &request, &head.headers)).transpose()?.flatten();
                 // A client without an identifying value is identified by its connection.
                 split.choose(value.map_or_else(|| hash(peer.to_string().as_bytes()), |v| hash(v.as_bytes())))
             }
         };
-        let Some(side) = service.route_pools.get(side) else {
+        let Some(route_pool) = service.route_pools.get(pool_index) else {
             return Err(text_response(StatusCode::NOT_FOUND, "a route without a pool"));
         };
-        let pool = &side.pool;
+        let pool = &route_pool.pool;
         // No upstream is ready, so the request is refused at once and was not sent.
         if pool.engine.ready_upstreams() == 0 {
             return Err(self.refused("no upstream"));
@@ -369,28 +375,28 @@
             return Err(self.refused_for("the fleet's limit", wait));
         }
         // A pool whose upstreams hang must not take up the open requests of other pools.
-        let place = pool.open_requests.acquire(1).ok_or_else(|| self.refused("the pool is full"))?;
+        let permit = pool.open_requests.acquire(1).ok_or_else(|| self.refused("the pool is full"))?;
         let deadline = class.deadline;
-        let class = side.classes.get(number_of_class).copied().flatten();
+        let class = route_pool.classes.get(class_index).copied().flatten();
         let class = class.ok_or_else(|| text_response(StatusCode::NOT_FOUND, "a route without a class"))?;
         let mut headers = end_to_end_headers(&head.headers);
         // A client could list the key or a header that the route was matched by in its Connection header. The header
         // would then be removed, and the upstream would get another request than the one that was matched.
-        let taken_off = |name: &str| head.headers.contains_key(name) && !headers.contains_key(name);
-        let by_route = route.conditions.iter().filter_map(|c| match &c.source {
+        let is_stripped = |name: &str| head.headers.contains_key(name) && !headers.contains_key(name);
+        let route_headers = route.conditions.iter().filter_map(|c| match &c.source {
             ConditionSource::Header(name) => Some(name.as_str()),
             ConditionSource::Query(_) => None,
         });
-        let by_source = [&service.key, &service.tenant].into_iter().filter_map(|s| match s {
+        let value_headers = [&service.key, &service.tenant].into_iter().filter_map(|s| match s {
             Some(Source::Header(name)) => Some(name.as_str()),
             _ => None,
         });
-        let by_class = service.class_header.as_ref().map(HeaderName::as_str);
-        if by_route.chain(by_source).chain(by_class).chain([HOST.as_str()]).any(taken_off) {
-            return Err(bad("Connection names a header that this route goes by"));
+        let class_header = service.class_header.as_ref().map(HeaderName::as_str);
+        if route_headers.chain(value_headers).chain(class_header).chain([HOST.as_str()]).any(is_stripped) {
+            return Err(bad_request("Connection names a header that this route goes by"));
         }
         if let Some(host) = target.host.as_ref().map(ToString::to_string)
-            && headers.get(HOST).is_none_or(|came| came.as_bytes() != host.as_bytes())
+            && headers.get(HOST).is_none_or(|received| received.as_bytes() != host.as_bytes())
             && let Ok(host) = HeaderValue::from_str(&host)
         {
             headers.insert(HOST, host);
@@ -398,52 +404,53 @@
         if let Ok(peer) = HeaderValue::from_str(&peer.ip().to_string()) {
             headers.append(FORWARDED_FOR, peer);
         }
-        let witness = service.described.as_ref().map(|described| {
+        let observer = service.described.as_ref().map(|described| {
             let (service, operation) = (service.clone(), described.operation.clone());
             Box::new(OperationObserver { service, operation, key }) as Box<dyn ResponseObserver>
         });
         Ok(Admission {
             engine: pool.engine.clone(),
             class,
-            time_left: waits.min(deadline),
+            time_left: client_wait.min(deadline),
             tenant: tenant.and_then(|t| pool.tenants.borrow().get(&t).copied()),
             work: None,
             is_retry: false,
             method: head.method.clone(),
-            uri: forwarded(&target, &head.uri).ok_or_else(|| bad("the target cannot be forwarded"))?,
+            uri: forwarded_uri(&target, &head.uri)
+                .ok_or_else(|| bad_request("the target cannot be forwarded"))?,
             headers,
             max_body_bytes: service.max_body_bytes,
             response_reservation_bytes: pool.response_reservation_bytes.get(),
             forbids_body: [Method::GET, Method::HEAD].contains(&head.method),
             request_id: None,
             body_memory: pool.body_memory.clone(),
-            observer: witness,
-            guard: Some(Box::new(InHand::new(pool, class, place))),
+            observer,
+            guard: Some(Box::new(RequestGuard::new(pool, class, permit))),
         })
     }
 
     fn ready(&self) -> bool {
-        self.now.borrow().pools.iter().all(|p| p.engine.has_list())
+        self.current.borrow().pools.iter().all(|p| p.engine.has_list())
     }
 
     /// Returns whole seconds (RFC 9110 section 10.2.3), at least 1, also if the engine proposes no delay.
-    fn retry_after(&self, wish: Micros) -> Option<HeaderValue> {
-        Some(HeaderValue::from(wish.div_ceil(1_000_000).max(1)))
+    fn retry_after(&self, proposed_delay: Micros) -> Option<HeaderValue> {
+        Some(HeaderValue::from(proposed_delay.div_ceil(1_000_000).max(1)))
     }
 }
 
 impl<W: Transport<Call = Call, Reply = Reply>> RoutedFrontend<W> {
     /// Builds a 503 response with the shortest `Retry-After`.
-    fn refused(&self, why: &'static str) -> ClientResponse {
-        self.refused_for(why, 0)
+    fn refused(&self, reason: &'static str) -> ClientResponse {
+        self.refused_for(reason, 0)
     }
 
     /// Builds a 503 response with a `Retry-After` of `wait` microseconds, rounded up to seconds.
-    fn refused_for(&self, why: &'static str, wait: Micros) -> ClientResponse {
-        let mut answer = text_response(StatusCode::SERVICE_UNAVAILABLE, why);
+    fn refused_for(&self, reason: &'static str, wait: Micros) -> ClientResponse {
+        let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, reason);
         if let Some(seconds) = self.retry_after(wait) {
-            answer.headers_mut().insert(hyper::header::RETRY_AFTER, seconds);
+            response.headers_mut().insert(hyper::header::RETRY_AFTER, seconds);
         }
-        answer
+        response
     }
 }
--- a/http/src/server.rs
+++ b/http/src/server.rs
@@ -28,38 +28,37 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-use crate::client_io::{ClientIo, Fault, IdleConnections, Progress, Stage, StageTimeouts};
+use crate::client_io::{ClientIo, ConnectionState, IdleConnections, RequestError, Stage, StageTimeouts};
 use crate::frontend::{Admission, ClientResponse, Frontend, end_to_end_headers, text_response};
 use crate::payload::{BodyEnd, Payload};
 use crate::upload::{RequestBody, StreamingUpload};
 use crate::upstream::Call;
-use crate::{MAX_BUFFERED_BYTES, MOST_HEAD};
+use crate::{MAX_BUFFERED_BYTES, MAX_READ_AHEAD_BYTES};
 
-/// Upper bound of the drain time on the platform before the margin. The process is killed some time after the order
-/// to stop, which depends on the longest deadline up to this bound.
-const LONGEST_WAIT: Duration = Duration::from_secs(3);
-/// Added to the drain time on the platform. It is shorter than the grace period after the longest deadline, so that
-/// the last response precedes the kill.
-const KILL_MARGIN: Duration = Duration::from_millis(500);
+/// Upper bound of the drain time on the platform, before [`PLATFORM_DRAIN_EXTENSION`] is added. Below this bound,
+/// the longest deadline is the drain time.
+const PLATFORM_MAX_DRAIN: Duration = Duration::from_secs(3);
+/// Added to the drain time on the platform. The platform kills the process a short margin after the extended time.
+const PLATFORM_DRAIN_EXTENSION: Duration = Duration::from_millis(500);
 /// Share of the drain time during which connections and requests are still accepted on the platform. The load
 /// balancer in front needs this time to switch to other instances.
-const STILL_TAKEN: f64 = 0.37;
+const PLATFORM_ACCEPT_SHARE: f64 = 0.37;
 /// How long a removed listener still accepts connections. Connections in the accept queue are already established
 /// for their clients.
-const IN_QUEUE: Duration = Duration::from_millis(20);
+const REMOVED_LISTENER_ACCEPT_TIME: Duration = Duration::from_millis(20);
 /// A request that arrives within this time after the order to stop keeps its own deadline.
-const UNHURRIED: Duration = Duration::from_millis(600);
+const FULL_DEADLINE_PERIOD: Duration = Duration::from_millis(600);
 /// How long a connection without any request is kept open once no more connections are accepted.
-const NOTHING_YET: Duration = Duration::from_millis(200);
+const UNUSED_CONNECTION_GRACE: Duration = Duration::from_millis(200);
 /// Pause after a connection could not be accepted because no file descriptor was free.
-const NO_SOCKET_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(20);
 /// Share of the connection slots in use above which responses close their connection. This leaves slots for clients
 /// that have no connection.
-const CROWDED: f64 = 0.75;
+const CLOSE_AFTER_RESPONSE_SHARE: f64 = 0.75;
 /// How long input from a client is read and discarded after an error response.
-const LINGER: Duration = Duration::from_millis(500);
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 /// Maximum number of bytes that are read and discarded after an error response.
-const MOST_LINGER: usize = 1 << 20;
+const MAX_LINGER_BYTES: usize = 1 << 20;
 
 /// The lifecycle phase of the balancer.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
@@ -91,30 +90,30 @@
     /// Returns the limits on the platform for this number of connections. `longest` is the longest deadline in
     /// microseconds.
     pub fn platform(max_connections: usize, longest: Micros) -> ServerLimits {
-        let drain_timeout = Duration::from_micros(longest).min(LONGEST_WAIT) + KILL_MARGIN;
-        let (pace, ready_path) = (StageTimeouts::default(), "/health/ready".to_owned());
+        let drain_timeout = Duration::from_micros(longest).min(PLATFORM_MAX_DRAIN) + PLATFORM_DRAIN_EXTENSION;
+        let (timeouts, ready_path) = (StageTimeouts::default(), "/health/ready".to_owned());
         ServerLimits {
             max_connections,
-            timeouts: pace,
+            timeouts,
             ready_path,
             drain_timeout,
-            accept_after_stop: drain_timeout.mul_f64(STILL_TAKEN),
+            accept_after_stop: drain_timeout.mul_f64(PLATFORM_ACCEPT_SHARE),
         }
     }
 }
 
 /// Serves the clients of one listener.
 pub struct HttpServer<F: Frontend> {
-    front: F,
+    frontend: F,
     connection_slots: Arc<Semaphore>,
-    room: RefCell<ServerLimits>,
-    crowd: Rc<IdleConnections>,
+    limits: RefCell<ServerLimits>,
+    idle_connections: Rc<IdleConnections>,
     /// The ids of the open requests, which must be unique.
-    ids: RefCell<HashSet<HeaderValue>>,
+    open_request_ids: RefCell<HashSet<HeaderValue>>,
     /// When the order to stop came.
-    ordered: Cell<Option<Instant>>,
+    stop_ordered_at: Cell<Option<Instant>>,
     /// Notified when the drain timeout after the order to stop expires.
-    leave: Notify,
+    drain_expired: Notify,
     phase: watch::Receiver<Phase>,
     /// How the server treats clients, as set by operators' orders and by a successor process.
     posture: watch::Sender<Posture>,
@@ -122,20 +121,20 @@
 
 impl<F: Frontend> HttpServer<F> {
     /// Creates a server that handles requests as the frontend decides.
-    pub fn new(front: F, room: ServerLimits, phase: watch::Receiver<Phase>) -> Rc<Self> {
-        let (places, crowd) =
-            (Arc::new(Semaphore::new(room.max_connections)), IdleConnections::new(room.timeouts));
-        let (room, ids) = (RefCell::new(room), RefCell::default());
-        let (ordered, leave) = (Cell::default(), Notify::new());
+    pub fn new(frontend: F, limits: ServerLimits, phase: watch::Receiver<Phase>) -> Rc<Self> {
+        let (slots, idle_connections) =
+            (Arc::new(Semaphore::new(limits.max_connections)), IdleConnections::new(limits.timeouts));
+        let (limits, open_request_ids) = (RefCell::new(limits), RefCell::default());
+        let (stop_ordered_at, drain_expired) = (Cell::default(), Notify::new());
         let (posture, _) = watch::channel(Posture::default());
         Rc::new(HttpServer {
-            front,
-            connection_slots: places,
-            room,
-            crowd,
-            ids,
-            ordered,
-            leave,
+            frontend,
+            connection_slots: slots,
+            limits,
+            idle_connections,
+            open_request_ids,
+            stop_ordered_at,
+            drain_expired,
             phase,
             posture,
         })
@@ -143,29 +142,29 @@
 
     /// Changes how clients are treated from now on.
     pub fn set_posture(&self, posture: Posture) {
-        self.posture.send_if_modified(|now| std::mem::replace(now, posture) != posture);
+        self.posture.send_if_modified(|current| std::mem::replace(current, posture) != posture);
     }
 
     /// Returns the frontend.
     pub fn frontend(&self) -> &F {
-        &self.front
+        &self.frontend
     }
 
     /// Changes the limits. Existing connections stay open.
-    pub fn set_limits(&self, room: ServerLimits) {
-        let before = std::mem::replace(&mut *self.room.borrow_mut(), room.clone());
-        self.crowd.set_pace(room.timeouts);
-        match room.max_connections.checked_sub(before.max_connections) {
-            Some(more) => self.connection_slots.add_permits(more),
+    pub fn set_limits(&self, limits: ServerLimits) {
+        let before = std::mem::replace(&mut *self.limits.borrow_mut(), limits.clone());
+        self.idle_connections.set_timeouts(limits.timeouts);
+        match limits.max_connections.checked_sub(before.max_connections) {
+            Some(added) => self.connection_slots.add_permits(added),
             None => {
-                let (places, fewer) =
-                    (self.connection_slots.clone(), before.max_connections - room.max_connections);
+                let (slots, excess) =
+                    (self.connection_slots.clone(), before.max_connections - limits.max_connections);
                 spawn_local(async move {
                     // Acquiring all permits at once would withhold each freed slot from waiting connections until
                     // enough slots are free.
-                    for _ in 0..fewer {
-                        if let Ok(place) = places.acquire().await {
-                            place.forget();
+                    for _ in 0..excess {
+                        if let Ok(slot) = slots.acquire().await {
+                            slot.forget();
                         }
                     }
                 });
@@ -174,11 +173,11 @@
     }
 
     fn drain_timeout(&self) -> Duration {
-        self.room.borrow().drain_timeout
+        self.limits.borrow().drain_timeout
     }
 
-    fn most(&self) -> usize {
-        self.room.borrow().max_connections
+    fn max_connections(&self) -> usize {
+        self.limits.borrow().max_connections
     }
 
     /// Accepts connections until the listener is removed or until some time after the order to stop.
@@ -202,14 +201,14 @@
                 if waiting.is_none() {
                     waiting = Some(listener.accept().await?);
                 }
-                self.place().await.map_err(io::Error::other)
+                self.acquire_slot().await.map_err(io::Error::other)
             };
             tokio::select! {
                 biased;
-                place = accept, if accepts => match (place, waiting.take()) {
-                    (Ok(place), Some((stream, peer))) => self.take(stream, peer, place),
+                slot = accept, if accepts => match (slot, waiting.take()) {
+                    (Ok(slot), Some((stream, peer))) => self.spawn_connection(stream, peer, slot),
                     // Avoids a busy loop while no file descriptor is free. The connection stays in the accept queue.
-                    _ => sleep(NO_SOCKET_PAUSE).await,
+                    _ => sleep(ACCEPT_ERROR_PAUSE).await,
                 },
                 // This cannot fail: the server itself holds the sender.
                 _ = posture.changed() => {}
@@ -218,15 +217,19 @@
                     None => {
                         let now = Instant::now();
                         let removed = *self.phase.borrow() == Phase::Closing;
-                        let still = if removed { IN_QUEUE } else { self.room.borrow().accept_after_stop };
-                        stop_at = Some(now + still);
+                        let accept_time = if removed {
+                            REMOVED_LISTENER_ACCEPT_TIME
+                        } else {
+                            self.limits.borrow().accept_after_stop
+                        };
+                        stop_at = Some(now + accept_time);
                         // The requests of a removed listener keep their own deadlines.
                         if !removed {
-                            self.ordered.set(Some(now));
+                            self.stop_ordered_at.set(Some(now));
                             let this = self.clone();
                             spawn_local(async move {
                                 sleep_until(now + this.drain_timeout()).await;
-                                this.leave.notify_waiters();
+                                this.drain_expired.notify_waiters();
                             });
                         }
                     }
@@ -240,35 +243,35 @@
                 Some(waiting) => Some(waiting),
                 None => timeout(Duration::ZERO, listener.accept()).await.ok().and_then(Result::ok),
             }
-            && let Ok(place) = self.connection_slots.clone().try_acquire_owned()
+            && let Ok(slot) = self.connection_slots.clone().try_acquire_owned()
         {
-            self.take(stream, peer, place);
+            self.spawn_connection(stream, peer, slot);
         }
         drop(listener);
         let _ = phases.send(Phase::Closing);
     }
 
     /// Starts a task that serves an accepted connection.
-    fn take(self: &Rc<Self>, stream: TcpStream, peer: SocketAddr, place: OwnedSemaphorePermit) {
-        let progress = Progress::new(self.crowd.clone());
-        let task = spawn_local(self.clone().connection(stream, peer, place, progress.clone()));
-        progress.of(task.abort_handle());
+    fn spawn_connection(self: &Rc<Self>, stream: TcpStream, peer: SocketAddr, slot: OwnedSemaphorePermit) {
+        let state = ConnectionState::new(self.idle_connections.clone());
+        let task = spawn_local(self.clone().serve_connection(stream, peer, slot, state.clone()));
+        state.attach_task(task.abort_handle());
     }
 
     /// Waits until all connections are closed.
     pub async fn wait_closed(&self) {
-        let _ = self.connection_slots.acquire_many(self.most() as u32).await;
+        let _ = self.connection_slots.acquire_many(self.max_connections() as u32).await;
     }
 
     /// Waits for a free connection slot. If there is none, the connection that has been idle longest is closed, so
     /// that silent clients cannot occupy all slots.
-    async fn place(&self) -> Result<OwnedSemaphorePermit, AcquireError> {
+    async fn acquire_slot(&self) -> Result<OwnedSemaphorePermit, AcquireError> {
         while self.connection_slots.available_permits() == 0 {
-            match self.crowd.close_oldest() {
+            match self.idle_connections.close_oldest() {
                 Ok(()) | Err(None) => break,
-                Err(Some(ripe)) => tokio::select! {
-                    place = self.connection_slots.clone().acquire_owned() => return place,
-                    () = sleep_until(ripe) => {}
+                Err(Some(closable_at)) => tokio::select! {
+                    slot = self.connection_slots.clone().acquire_owned() => return slot,
+                    () = sleep_until(closable_at) => {}
                 },
             }
         }
@@ -276,30 +279,30 @@
     }
 
     /// Serves the requests of a connection until it ends, times out or is closed for a shutdown.
-    async fn connection(
+    async fn serve_connection(
         self: Rc<Self>,
         stream: TcpStream,
         peer: SocketAddr,
-        place: OwnedSemaphorePermit,
-        progress: Rc<Progress>,
+        slot: OwnedSemaphorePermit,
+        state: Rc<ConnectionState>,
     ) {
-        let _place = place;
+        let _slot = slot;
         let _ = stream.set_nodelay(true);
         let used = Rc::new(Cell::new(false));
         let service = hyper::service::service_fn({
-            let (server, used, progress) = (self.clone(), used.clone(), progress.clone());
+            let (server, used, state) = (self.clone(), used.clone(), state.clone());
             move |request| {
                 used.set(true);
-                let (server, progress) = (server.clone(), progress.clone());
-                Box::pin(async move { Ok::<_, Infallible>(server.respond(request, peer, &progress).await) })
+                let (server, state) = (server.clone(), state.clone());
+                Box::pin(async move { Ok::<_, Infallible>(server.respond(request, peer, &state).await) })
             }
         });
         let mut builder = http1::Builder::new();
-        builder.max_buf_size(MOST_HEAD);
-        let mut connection = builder.serve_connection(ClientIo::new(stream, progress.clone()), service);
+        builder.max_buf_size(MAX_READ_AHEAD_BYTES);
+        let mut connection = builder.serve_connection(ClientIo::new(stream, state.clone()), service);
         let mut phase = self.phase.clone();
         let mut posture = self.posture.subscribe();
-        let mut late = Box::pin(sleep(Duration::ZERO));
+        let mut stage_timer = Box::pin(sleep(Duration::ZERO));
         loop {
             let idle_close = posture.borrow_and_update().idle_close;
             let closing = idle_close || *phase.borrow_and_update() == Phase::Closing;
@@ -310,37 +313,37 @@
                 Pin::new(&mut connection).graceful_shutdown();
             }
             // Resolves to false when the connection ends and to true when its stage times out.
-            let served = poll_fn(|cx| {
+            let finished = poll_fn(|cx| {
                 if connection.poll_without_shutdown(cx).is_ready() {
                     return Poll::Ready(false);
                 }
-                let Some(due) = progress.due() else { return Poll::Pending };
-                if late.deadline() != due {
-                    late.as_mut().reset(due);
+                let Some(deadline) = state.stage_deadline() else { return Poll::Pending };
+                if stage_timer.deadline() != deadline {
+                    stage_timer.as_mut().reset(deadline);
                 }
-                late.as_mut().poll(cx).map(|()| true)
+                stage_timer.as_mut().poll(cx).map(|()| true)
             });
-            let too_late = tokio::select! {
-                too_late = served => too_late,
+            let timed_out = tokio::select! {
+                timed_out = finished => timed_out,
                 // Bounds the shutdown if a client never completes its first request.
-                () = sleep(NOTHING_YET), if closing && !used.get() => {
+                () = sleep(UNUSED_CONNECTION_GRACE), if closing && !used.get() => {
                     if used.get() { continue } else { return }
                 }
                 _ = posture.changed() => continue,
                 changed = phase.changed() => if changed.is_err() { return } else { continue },
             };
-            let error = match (progress.fault(), too_late, progress.stage()) {
-                (Some(Fault::Bad), ..) => Some("400 Bad Request"),
-                (Some(Fault::TooLarge), ..) => Some("431 Request Header Fields Too Large"),
-                (None, true, Stage::Body) if progress.held_up() => Some("504 Gateway Timeout"),
+            let error = match (state.error(), timed_out, state.stage()) {
+                (Some(RequestError::Malformed), ..) => Some("400 Bad Request"),
+                (Some(RequestError::HeadTooLarge), ..) => Some("431 Request Header Fields Too Large"),
+                (None, true, Stage::Body) if state.is_upstream_blocked() => Some("504 Gateway Timeout"),
                 (None, true, Stage::Head | Stage::Body) => Some("408 Request Timeout"),
                 _ => None,
             };
             // Drops hyper's state first, and the open request with it.
             let stream = connection.into_parts().io.into_stream();
-            let error = error.filter(|_| !progress.stuck());
-            if error.is_some() || progress.unread() {
-                let _ = timeout(LINGER, leave(stream, error)).await;
+            let error = error.filter(|_| !state.is_write_blocked());
+            if error.is_some() || state.has_unread_input() {
+                let _ = timeout(LINGER_TIMEOUT, send_error_and_linger(stream, error)).await;
             }
             return;
         }
@@ -351,33 +354,38 @@
         &self,
         request: Request<Incoming>,
         peer: SocketAddr,
-        progress: &Rc<Progress>,
+        state: &Rc<ConnectionState>,
     ) -> ClientResponse {
-        let mut response = if request.uri().path() == self.room.borrow().ready_path {
+        let mut response = if request.uri().path() == self.limits.borrow().ready_path {
             self.ready()
         } else {
-            self.serve_one(request, peer, progress).await
+            self.forward_request(request, peer, state).await
         };
         // Bytes after a request that was not read, or whose end only hyper knows, must not be parsed as another
         // request.
-        let last = progress.unread() || progress.chunked();
+        let closes_connection = state.has_unread_input() || state.is_chunked();
         match response.body_mut() {
-            Payload::Streaming(passing) => {
+            Payload::Streaming(streaming) => {
                 // The next request is not parsed until this response has ended.
-                progress.answering();
-                let progress = progress.clone();
-                passing.on_end(move |end| {
-                    if !last && end == BodyEnd::Complete {
-                        progress.answered();
+                state.response_started();
+                let state = state.clone();
+                streaming.on_end(move |end| {
+                    if !closes_connection && end == BodyEnd::Complete {
+                        state.response_finished();
                     }
                 });
             }
-            Payload::Buffered(_) if !last => progress.answered(),
+            Payload::Buffered(_) if !closes_connection => state.response_finished(),
             Payload::Buffered(_) => {}
         }
-        let most = self.most();
-        let crowded = (self.connection_slots.available_permits() as f64) < (1.0 - CROWDED) * most as f64;
-        if last || crowded || self.posture.borrow().answers_close || *self.phase.borrow() == Phase::Closing {
+        let max_connections = self.max_connections();
+        let few_slots_left = (self.connection_slots.available_permits() as f64)
+            < (1.0 - CLOSE_AFTER_RESPONSE_SHARE) * max_connections as f64;
+        if closes_connection
+            || few_slots_left
+            || self.posture.borrow().answers_close
+            || *self.phase.borrow() == Phase::Closing
+        {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         response
@@ -388,7 +396,7 @@
         // While stopping, the server is ready only if another process serves at its address.
         let posture = *self.posture.borrow();
         let running = *self.phase.borrow() == Phase::Running || !posture.accepts;
-        if running && posture.ready && self.front.ready() {
+        if running && posture.ready && self.frontend.ready() {
             text_response(StatusCode::OK, "ready")
         } else {
             text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready")
@@ -396,83 +404,93 @@
     }
 
     /// Admits a request, reads its body, submits it to the engine and returns the final response.
-    async fn serve_one(
+    async fn forward_request(
         &self,
         request: Request<Incoming>,
         peer: SocketAddr,
-        progress: &Rc<Progress>,
+        state: &Rc<ConnectionState>,
     ) -> ClientResponse {
         let (head, body) = request.into_parts();
-        let admission = match self.front.admit(&head, peer) {
+        let admission = match self.frontend.admit(&head, peer) {
             Ok(admission) => admission,
-            Err(answer) => return answer,
+            Err(response) => return response,
         };
         // Body memory of the request: a reservation for its response, and its own body as far as it was received.
-        let Some(room) = admission.body_memory.acquire(admission.response_reservation_bytes) else {
+        let Some(response_memory) = admission.body_memory.acquire(admission.response_reservation_bytes)
+        else {
             return self.refused(0, "no room");
         };
         let mut upload = None;
-        let (body, room) = match read(body, &admission).await {
-            Ok(Come::Whole(body, own)) => {
-                progress.taken();
-                (RequestBody::Buffered(body), (room, own))
+        let (body, memory) = match read_body(body, &admission).await {
+            Ok(ReceivedBody::Buffered(body, body_memory)) => {
+                state.request_received();
+                (RequestBody::Buffered(body), (response_memory, body_memory))
             }
-            Ok(Come::Passing(body)) => {
-                let progress = progress.clone();
-                progress.passes(Duration::from_micros(admission.time_left));
-                body.on_received(move || progress.taken());
+            Ok(ReceivedBody::Streaming(body)) => {
+                let state = state.clone();
+                state.start_streaming(Duration::from_micros(admission.time_left));
+                body.on_received(move || state.request_received());
                 upload = Some(body.clone());
-                (RequestBody::Streaming(body), (room, Vec::new()))
+                (RequestBody::Streaming(body), (response_memory, Vec::new()))
             }
-            Err((status, why)) => return text_response(status, why),
+            Err((status, reason)) => return text_response(status, reason),
         };
         let Admission {
             engine,
             class,
             tenant,
             work,
-            is_retry: retry,
+            is_retry,
             method,
             uri,
             headers,
-            request_id: id,
-            guard: held,
-            observer: witness,
+            request_id,
+            guard,
+            observer,
             ..
         } = admission;
         // Rejects a second request with an id that is still open, because upstreams could not distinguish the two.
-        let _id = match id.map(|id| Id::take(&self.ids, &id)) {
+        let _id = match request_id.map(|id| OpenRequestId::register(&self.open_request_ids, &id)) {
             Some(None) => return text_response(StatusCode::BAD_REQUEST, "this Req-Id is open"),
             taken => taken,
         };
-        let _held = held;
+        let _guard = guard;
         // A request that arrives late in a shutdown must be answered before the process is killed.
-        let until_kill = self.ordered.get().filter(|at| at.elapsed() > UNHURRIED).map_or(Micros::MAX, |at| {
-            self.drain_timeout().saturating_sub(at.elapsed()).as_micros() as Micros
-        });
-        let time_left = admission.time_left.min(until_kill);
-        let head_only = method == Method::HEAD;
+        let drain_time_left = self
+            .stop_ordered_at
+            .get()
+            .filter(|at| at.elapsed() > FULL_DEADLINE_PERIOD)
+            .map_or(Micros::MAX, |at| {
+                self.drain_timeout().saturating_sub(at.elapsed()).as_micros() as Micros
+            });
+        let time_left = admission.time_left.min(drain_time_left);
+        let is_head = method == Method::HEAD;
         let call = Call { method, uri, headers, body };
-        let operation = witness.as_ref().map(|witness| witness.operation());
-        let asked = Instant::now();
-        let asking = engine.submit(NewRequest { class, time_left, tenant, work, retry, operation, call });
+        let operation = observer.as_ref().map(|observer| observer.operation());
+        let submitted_at = Instant::now();
+        let pending =
+            engine.submit(NewRequest { class, time_left, tenant, work, retry: is_retry, operation, call });
         // A request that is still open when the drain timeout expires fails, so that its client gets a response
         // before the process is killed.
         let answer = tokio::select! {
             biased;
-            answer = asking.answer() => answer,
-            () = self.leave.notified() => Answer::Failed(Failure::DeadlineExceeded),
+            answer = pending.answer() => answer,
+            () = self.drain_expired.notified() => Answer::Failed(Failure::DeadlineExceeded),
         };
         match answer {
             Answer::Served(mut reply) => {
-                if let Some(witness) = witness {
-                    witness.on_response(reply.status, &reply.headers, asked.elapsed().as_micros() as Micros);
+                if let Some(observer) = observer {
+                    observer.on_response(
+                        reply.status,
+                        &reply.headers,
+                        submitted_at.elapsed().as_micros() as Micros,
+                    );
                 }
                 // The memory of the request body is released with the attempt, which ends with the response.
-                if let Payload::Streaming(passing) = &mut reply.body {
-                    passing.on_end(move |_| drop(room));
+                if let Payload::Streaming(streaming) = &mut reply.body {
+                    streaming.on_end(move |_| drop(memory));
                 }
-                let length = reply.headers.get(CONTENT_LENGTH).filter(|_| head_only).cloned();
+                let length = reply.headers.get(CONTENT_LENGTH).filter(|_| is_head).cloned();
                 let mut response = Response::new(reply.body);
                 *response.status_mut() = reply.status;
                 *response.headers_mut() = end_to_end_headers(&reply.headers);
@@ -494,11 +512,11 @@
         }
     }
 
-    /// Builds a 503 response for a request that was not sent, so that a retry is safe. `wish` is the retry delay
-    /// that the engine proposes, in microseconds.
-    fn refused(&self, wish: Micros, why: &'static str) -> ClientResponse {
-        let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, why);
-        if let Some(seconds) = self.front.retry_after(wish) {
+    /// Builds a 503 response for a request that was not sent, so that a retry is safe. `proposed_delay` is the retry
+    /// delay that the engine proposes, in microseconds.
+    fn refused(&self, proposed_delay: Micros, reason: &'static str) -> ClientResponse {
+        let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, reason);
+        if let Some(seconds) = self.frontend.retry_after(proposed_delay) {
             response.headers_mut().insert(RETRY_AFTER, seconds);
         }
         response
@@ -506,72 +524,73 @@
 }
 
 /// A request body as far as it was read.
-enum Come {
+enum ReceivedBody {
     /// The whole body with the permits for its memory.
-    Whole(Bytes, Vec<Permit>),
+    Buffered(Bytes, Vec<Permit>),
     /// A body that does not fit in memory and is streamed to the upstream.
-    Passing(Rc<StreamingUpload>),
+    Streaming(Rc<StreamingUpload>),
 }
 
 /// Reads a request body whole if there is memory for it. Memory is acquired as data arrives, so that a false
 /// Content-Length reserves nothing. The request's deadline starts when this function returns. The error is the
 /// status and the text for the client.
-async fn read<W: Transport>(
+async fn read_body<W: Transport>(
     mut body: Incoming,
     admission: &Admission<W>,
-) -> Result<Come, (StatusCode, &'static str)> {
+) -> Result<ReceivedBody, (StatusCode, &'static str)> {
     let too_large = (StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
-    let most = admission.max_body_bytes as u64;
-    if body.size_hint().lower() > most {
+    let max_bytes = admission.max_body_bytes as u64;
+    if body.size_hint().lower() > max_bytes {
         return Err(too_large);
     }
-    let exact = body.size_hint().exact().unwrap_or(0) as usize;
-    let (mut whole, mut room, mut reserved) = (BytesMut::new(), Vec::new(), 0);
+    let announced = body.size_hint().exact().unwrap_or(0) as usize;
+    let (mut buffer, mut memory, mut reserved) = (BytesMut::new(), Vec::new(), 0);
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| (StatusCode::BAD_REQUEST, "broken body"))?;
         let Ok(data) = frame.into_data() else { continue };
         if admission.forbids_body && !data.is_empty() {
             return Err((StatusCode::BAD_REQUEST, "a body that does not fit the class"));
         }
-        let length = whole.len() + data.len();
-        if length as u64 > most {
+        let length = buffer.len() + data.len();
+        if length as u64 > max_bytes {
             return Err(too_large);
         }
         if length > reserved {
             // Doubles the reservation as the buffer grows, up to the announced length.
-            let more = if exact > 0 { exact.min(2 * length) } else { 2 * length }.max(length) - reserved;
+            let wanted =
+                if announced > 0 { announced.min(2 * length) } else { 2 * length }.max(length) - reserved;
             // Leaves memory for other requests: beyond the default buffer size, a body must leave as much memory
             // free as it uses itself.
-            let modest = reserved + more <= MAX_BUFFERED_BYTES
-                || admission.body_memory.available() >= reserved + 2 * more;
-            let Some(taken) = admission.body_memory.acquire(more).filter(|_| modest) else {
-                whole.extend_from_slice(&data);
-                return Ok(Come::Passing(StreamingUpload::new(
-                    whole.freeze(),
-                    room,
+            let leaves_enough = reserved + wanted <= MAX_BUFFERED_BYTES
+                || admission.body_memory.available() >= reserved + 2 * wanted;
+            let Some(permit) = admission.body_memory.acquire(wanted).filter(|_| leaves_enough) else {
+                buffer.extend_from_slice(&data);
+                return Ok(ReceivedBody::Streaming(StreamingUpload::new(
+                    buffer.freeze(),
+                    memory,
                     body,
-                    most - length as u64,
+                    max_bytes - length as u64,
                 )));
             };
-            room.push(taken);
-            reserved += more;
-            whole.reserve(reserved - whole.len());
+            memory.push(permit);
+            reserved += wanted;
+            buffer.reserve(reserved - buffer.len());
         }
-        whole.extend_from_slice(&data);
+        buffer.extend_from_slice(&data);
     }
-    Ok(Come::Whole(whole.freeze(), room))
+    Ok(ReceivedBody::Buffered(buffer.freeze(), memory))
 }
 
 /// Sends an error response if there is one, then reads and discards input for a while. Closing a socket with unread
 /// input resets the connection, and the client could lose the response.
-async fn leave(mut stream: TcpStream, error: Option<&str>) -> io::Result<()> {
+async fn send_error_and_linger(mut stream: TcpStream, error: Option<&str>) -> io::Result<()> {
     if let Some(error) = error {
         let text = format!("HTTP/1.1 {error}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
         stream.write_all(text.as_bytes()).await?;
     }
     stream.shutdown().await?;
     let (mut read, mut chunk) = (0, [0; 4096]);
-    while read < MOST_LINGER {
+    while read < MAX_LINGER_BYTES {
         match stream.read(&mut chunk).await? {
             0 => break,
             n => read += n,
@@ -581,20 +600,23 @@
 }
 
 /// Registers the id of an open request until it is dropped.
-struct Id<'a> {
-    ids: &'a RefCell<HashSet<HeaderValue>>,
+struct OpenRequestId<'a> {
+    open_ids: &'a RefCell<HashSet<HeaderValue>>,
     id: HeaderValue,
 }
 
-impl Id<'_> {
+impl OpenRequestId<'_> {
     /// Registers the id. Returns `None` if another open request has the same id.
-    fn take<'a>(ids: &'a RefCell<HashSet<HeaderValue>>, id: &HeaderValue) -> Option<Id<'a>> {
-        ids.borrow_mut().insert(id.clone()).then(|| Id { ids, id: id.clone() })
+    fn register<'a>(
+        open_ids: &'a RefCell<HashSet<HeaderValue>>,
+        id: &HeaderValue,
+    ) -> Option<OpenRequestId<'a>> {
+        open_ids.borrow_mut().insert(id.clone()).then(|| OpenRequestId { open_ids, id: id.clone() })
     }
 }
 
-impl Drop for Id<'_> {
+impl Drop for OpenRequestId<'_> {
     fn drop(&mut self) {
-        self.ids.borrow_mut().remove(&self.id);
+        self.open_ids.borrow_mut().remove(&self.id);
     }
 }
--- a/http/src/upload.rs
+++ b/http/src/upload.rs
@@ -28,7 +28,7 @@
     pub fn min_length(&self) -> u64 {
         match self {
             RequestBody::Buffered(bytes) => bytes.len() as u64,
-            RequestBody::Streaming(upload) => upload.passing.borrow().size_hint().lower(),
+            RequestBody::Streaming(upload) => upload.body.borrow().size_hint().lower(),
         }
     }
 
@@ -44,7 +44,7 @@
     pub fn is_received(&self) -> bool {
         match self {
             RequestBody::Buffered(_) => true,
-            RequestBody::Streaming(upload) => upload.ended.get() == Some(BodyEnd::Complete),
+            RequestBody::Streaming(upload) => upload.end.get() == Some(BodyEnd::Complete),
         }
     }
 
@@ -52,7 +52,7 @@
     pub fn is_consumed(&self) -> bool {
         match self {
             RequestBody::Buffered(_) => false,
-            RequestBody::Streaming(upload) => upload.frames.get() > 0,
+            RequestBody::Streaming(upload) => upload.frames_sent.get() > 0,
         }
     }
 
@@ -61,7 +61,7 @@
         match self {
             RequestBody::Buffered(bytes) => OutgoingBody::Buffered(Full::new(bytes.clone())),
             RequestBody::Streaming(upload) => {
-                OutgoingBody::Streaming { upload: upload.clone(), begun: false }
+                OutgoingBody::Streaming { upload: upload.clone(), started: false }
             }
         }
     }
@@ -69,51 +69,51 @@
 
 /// A streamed request body. Data is read from the client only as fast as the upstream accepts it.
 pub struct StreamingUpload {
-    passing: RefCell<StreamingBody>,
+    body: RefCell<StreamingBody>,
     length: Option<u64>,
-    frames: Cell<u64>,
-    ended: Cell<Option<BodyEnd>>,
+    frames_sent: Cell<u64>,
+    end: Cell<Option<BodyEnd>>,
     /// Permits for the memory of the part that was read before the budget was exhausted.
-    room: RefCell<Vec<Permit>>,
-    on_received: RefCell<Vec<Box<dyn FnOnce()>>>,
+    memory: RefCell<Vec<Permit>>,
+    received_callbacks: RefCell<Vec<Box<dyn FnOnce()>>>,
 }
 
 impl StreamingUpload {
-    /// Creates a streamed body. `first` is the part that was already read, `room` the permits for its memory, and
-    /// `rest` may have at most `most` bytes.
-    pub fn new(first: Bytes, room: Vec<Permit>, rest: Incoming, most: u64) -> Rc<StreamingUpload> {
-        let here = first.len() as u64;
-        let length = rest.size_hint().exact().and_then(|rest| rest.checked_add(here));
+    /// Creates a streamed body. `first` is the part that was already read, `memory` the permits for its memory, and
+    /// `rest` may have at most `max_rest` bytes.
+    pub fn new(first: Bytes, memory: Vec<Permit>, rest: Incoming, max_rest: u64) -> Rc<StreamingUpload> {
+        let first_length = first.len() as u64;
+        let length = rest.size_hint().exact().and_then(|rest| rest.checked_add(first_length));
         Rc::new_cyclic(|this: &std::rc::Weak<StreamingUpload>| {
-            let mut passing = StreamingBody::new(first, rest, most);
+            let mut body = StreamingBody::new(first, rest, max_rest);
             let this = this.clone();
-            passing.on_end(move |end| {
+            body.on_end(move |end| {
                 let Some(upload) = this.upgrade() else { return };
-                upload.ended.set(Some(end));
+                upload.end.set(Some(end));
                 if end == BodyEnd::Complete {
-                    upload.on_received.take().into_iter().for_each(|tell| tell());
+                    upload.received_callbacks.take().into_iter().for_each(|callback| callback());
                 }
             });
-            let (passing, room) = (RefCell::new(passing), RefCell::new(room));
+            let (body, memory) = (RefCell::new(body), RefCell::new(memory));
             StreamingUpload {
-                passing,
+                body,
                 length,
-                frames: Cell::new(0),
-                ended: Cell::new(None),
-                room,
-                on_received: RefCell::default(),
+                frames_sent: Cell::new(0),
+                end: Cell::new(None),
+                memory,
+                received_callbacks: RefCell::default(),
             }
         })
     }
 
-    /// Calls `tell` when the last byte was received. It is never called if the body fails.
-    pub fn on_received(&self, tell: impl FnOnce() + 'static) {
-        self.on_received.borrow_mut().push(Box::new(tell));
+    /// Calls `callback` when the last byte was received. It is never called if the body fails.
+    pub fn on_received(&self, callback: impl FnOnce() + 'static) {
+        self.received_callbacks.borrow_mut().push(Box::new(callback));
     }
 
     /// Returns whether the sender broke off or the body exceeded the size limit.
     pub fn is_failed(&self) -> bool {
-        self.ended.get() == Some(BodyEnd::Failed)
+        self.end.get() == Some(BodyEnd::Failed)
     }
 }
 
@@ -126,7 +126,7 @@
         /// The body, shared with the request.
         upload: Rc<StreamingUpload>,
         /// Whether this attempt has already taken a part of the body.
-        begun: bool,
+        started: bool,
     },
 }
 
@@ -139,18 +139,22 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         match self.get_mut() {
-            OutgoingBody::Buffered(whole) => Pin::new(whole).poll_frame(cx).map_err(|never| match never {}),
-            OutgoingBody::Streaming { upload, begun } => {
+            OutgoingBody::Buffered(buffered) => {
+                Pin::new(buffered).poll_frame(cx).map_err(|never| match never {})
+            }
+            OutgoingBody::Streaming { upload, started } => {
                 // A second attempt must not send what the first one left of the body.
-                if upload.frames.get() > 0 && !*begun {
-                    return Poll::Ready(Some(Err(io::Error::other("the body is used up"))));
+                if upload.frames_sent.get() > 0 && !*started {
+                    return Poll::Ready(Some(Err(io::Error::other(
+                        "another attempt has already sent a part of the body",
+                    ))));
                 }
-                let frame = ready!(Pin::new(&mut *upload.passing.borrow_mut()).poll_frame(cx));
-                *begun = true;
+                let frame = ready!(Pin::new(&mut *upload.body.borrow_mut()).poll_frame(cx));
+                *started = true;
                 // When the second frame is requested, most of the first one was written. Only the first frame was
                 // buffered, so its memory is released.
-                if upload.frames.replace(upload.frames.get() + 1) == 1 {
-                    upload.room.borrow_mut().clear();
+                if upload.frames_sent.replace(upload.frames_sent.get() + 1) == 1 {
+                    upload.memory.borrow_mut().clear();
                 }
                 Poll::Ready(frame)
             }
@@ -159,8 +163,8 @@
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            OutgoingBody::Buffered(whole) => whole.size_hint(),
-            OutgoingBody::Streaming { upload, .. } => upload.passing.borrow().size_hint(),
+            OutgoingBody::Buffered(buffered) => buffered.size_hint(),
+            OutgoingBody::Streaming { upload, .. } => upload.body.borrow().size_hint(),
         }
     }
 }
--- a/http/src/upstream.rs
+++ b/http/src/upstream.rs
@@ -18,12 +18,12 @@
 use tokio::time::{Instant, timeout};
 
 use crate::payload::{BodyEnd, Payload, StreamingBody};
-use crate::pool::{CONNECT_UNTOLD, Conn, Pool};
+use crate::pool::{Conn, DEFAULT_CONNECT_TIMEOUT, Pool};
 use crate::upload::{OutgoingBody, RequestBody};
 use crate::{MAX_BUFFERED_BYTES, PLATFORM_MAX_BODY_BYTES};
 
 /// How long a connection may take after a response until it is ready for the next request.
-const TURN_ROUND: Duration = Duration::from_millis(500);
+const REUSE_READY_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How to talk to the upstreams of a pool: the headers they get and the meaning of their responses.
 #[derive(Clone, Debug, PartialEq)]
@@ -65,18 +65,22 @@
     }
 
     /// Returns whether a response with this status counts as served.
-    fn served(&self, status: StatusCode) -> bool {
+    fn is_served(&self, status: StatusCode) -> bool {
         // 429 tells a client that its request did not run. Forwarded from an upstream, it would promise that
         // wrongly.
-        let own = status.as_u16() < 500 && status != StatusCode::TOO_MANY_REQUESTS;
+        let is_service_response = status.as_u16() < 500 && status != StatusCode::TOO_MANY_REQUESTS;
         if self.forwards_any_status {
             return !status.is_informational();
         }
-        if self.only_200 { status == StatusCode::OK } else { own && !status.is_informational() }
+        if self.only_200 {
+            status == StatusCode::OK
+        } else {
+            is_service_response && !status.is_informational()
+        }
     }
 
     /// Returns whether the response proves that the upstream did not run the request.
-    fn declines(&self, status: StatusCode, headers: &HeaderMap) -> bool {
+    fn is_declined(&self, status: StatusCode, headers: &HeaderMap) -> bool {
         if self.forwards_any_status {
             return false;
         }
@@ -103,8 +107,8 @@
         &self,
         address: SocketAddr,
         limit: Option<Micros>,
-        dialect: &UpstreamProtocol,
-        number: u64,
+        protocol: &UpstreamProtocol,
+        attempt_number: u64,
     ) -> Request<OutgoingBody> {
         let mut request = Request::new(self.body.outgoing());
         *request.method_mut() = self.method.clone();
@@ -116,11 +120,11 @@
         {
             headers.insert(HOST, host);
         }
-        if let (Some(limit), Some(name)) = (limit, &dialect.deadline_header) {
+        if let (Some(limit), Some(name)) = (limit, &protocol.deadline_header) {
             headers.insert(name.clone(), HeaderValue::from(limit.div_ceil(1000)));
         }
-        if let Some(name) = &dialect.echo_header {
-            headers.insert(name.clone(), HeaderValue::from(number));
+        if let Some(name) = &protocol.echo_header {
+            headers.insert(name.clone(), HeaderValue::from(attempt_number));
         }
         // RFC 9110 section 8.6: methods that define a meaning for a body send Content-Length even if the body is
         // empty.
@@ -146,36 +150,36 @@
 
 /// Tracks how much of an attempt's request was written. When the engine aborts an attempt, this shows whether the
 /// request may have run.
-struct Flight {
-    begun: RefCell<Option<Begun>>,
+struct WriteProgress {
+    started: RefCell<Option<WriteStart>>,
     /// Minimum size of the whole request in bytes.
-    least: u64,
+    min_bytes: u64,
     body: RequestBody,
 }
 
 /// The connection on which a request is sent, and its write counter at that moment.
-struct Begun {
+struct WriteStart {
     driver: AbortHandle,
     written: Rc<Cell<u64>>,
-    before: u64,
+    written_before: u64,
 }
 
-impl Flight {
-    fn new(call: &Call) -> Rc<Flight> {
-        let (least, body) = (call.body.min_length() + 1, call.body.clone());
-        Rc::new(Flight { begun: RefCell::new(None), least, body })
+impl WriteProgress {
+    fn new(call: &Call) -> Rc<WriteProgress> {
+        let (min_bytes, body) = (call.body.min_length() + 1, call.body.clone());
+        Rc::new(WriteProgress { started: RefCell::new(None), min_bytes, body })
     }
 
-    fn begin(&self, conn: &Conn) {
+    fn start(&self, conn: &Conn) {
         let (driver, written) = (conn.driver.clone(), conn.written.clone());
-        let before = written.get();
-        *self.begun.borrow_mut() = Some(Begun { driver, written, before });
+        let written_before = written.get();
+        *self.started.borrow_mut() = Some(WriteStart { driver, written, written_before });
     }
 
     /// Returns false only if the last byte of the request was certainly not written.
     fn may_have_run(&self) -> bool {
-        let written = |b: &Begun| b.written.get() - b.before >= self.least;
-        self.body.is_received() && self.begun.borrow().as_ref().is_some_and(written)
+        let written = |b: &WriteStart| b.written.get() - b.written_before >= self.min_bytes;
+        self.body.is_received() && self.started.borrow().as_ref().is_some_and(written)
     }
 }
 
@@ -193,54 +197,57 @@
 /// A running attempt.
 pub struct Attempt {
     task: AbortHandle,
-    flight: Rc<Flight>,
+    write_progress: Rc<WriteProgress>,
 }
 
 impl Attempt {
     /// Closes the attempt's connection at once. Returns whether the request may have run.
     pub fn abort(self) -> bool {
         // Stops the connection first, so that nothing is written after the check.
-        if let Some(begun) = &*self.flight.begun.borrow() {
-            begun.driver.abort();
+        if let Some(started) = &*self.write_progress.started.borrow() {
+            started.driver.abort();
         }
         self.task.abort();
-        self.flight.may_have_run()
+        self.write_progress.may_have_run()
     }
 }
 
 /// The result of sending one request and reading its response.
-struct Exchanged {
+struct ExchangeResult {
     outcome: Outcome,
     load: Option<Load>,
-    /// The response, if there is one. Its body is still arriving if `passing` holds the connection.
+    /// The response, if there is one. Its body is still arriving if `streaming_conn` holds the connection.
     reply: Option<Reply>,
     conn: Option<Conn>,
     /// The connection on which the rest of a streamed response arrives.
-    passing: Option<Conn>,
+    streaming_conn: Option<Conn>,
 }
 
-impl From<Outcome> for Exchanged {
-    fn from(outcome: Outcome) -> Exchanged {
-        Exchanged { outcome, load: None, reply: None, conn: None, passing: None }
+impl From<Outcome> for ExchangeResult {
+    fn from(outcome: Outcome) -> ExchangeResult {
+        ExchangeResult { outcome, load: None, reply: None, conn: None, streaming_conn: None }
     }
 }
 
 /// The connections to the upstreams of a pool.
 pub struct Upstreams {
     pool: Rc<Pool>,
-    dialect: RefCell<Rc<UpstreamProtocol>>,
+    protocol: RefCell<Rc<UpstreamProtocol>>,
 }
 
 impl Upstreams {
-    /// Creates a client without connections. `places` limits the number of connections.
-    pub fn new(limits: &fs::Limits, places: Rc<Share>, dialect: UpstreamProtocol) -> Upstreams {
-        Upstreams { pool: Rc::new(Pool::new(limits, places)), dialect: RefCell::new(Rc::new(dialect)) }
+    /// Creates a client without connections. `connection_budget` limits the number of connections.
+    pub fn new(limits: &fs::Limits, connection_budget: Rc<Share>, protocol: UpstreamProtocol) -> Upstreams {
+        Upstreams {
+            pool: Rc::new(Pool::new(limits, connection_budget)),
+            protocol: RefCell::new(Rc::new(protocol)),
+        }
     }
 
     /// Changes the configuration. Running attempts keep the previous one.
-    pub fn set_config(&self, limits: &fs::Limits, dialect: UpstreamProtocol) {
-        self.pool.set(limits);
-        *self.dialect.borrow_mut() = Rc::new(dialect);
+    pub fn set_config(&self, limits: &fs::Limits, protocol: UpstreamProtocol) {
+        self.pool.set_limits(limits);
+        *self.protocol.borrow_mut() = Rc::new(protocol);
     }
 
     /// Closes connections that have been idle too long. This future never completes.
@@ -256,37 +263,40 @@
         limit: Micros,
         report: AttemptReport<W>,
     ) -> Attempt {
-        let (pool, flight, dialect) = (self.pool.clone(), Flight::new(&call), self.dialect.borrow().clone());
-        let shared = flight.clone();
+        let (pool, write_progress, protocol) =
+            (self.pool.clone(), WriteProgress::new(&call), self.protocol.borrow().clone());
+        let shared = write_progress.clone();
         if let RequestBody::Streaming(upload) = &call.body {
-            let come = report.body_receipt();
-            upload.on_received(move || come.complete());
+            let receipt = report.body_receipt();
+            upload.on_received(move || receipt.complete());
         }
         let task = spawn_local(async move {
-            let ended = exchange(&pool, to, &call, Some(limit), &dialect, &shared).await;
-            let whole = match (ended.passing, ended.reply) {
-                (Some(conn), Some(reply)) => return pass(pool, to.server, conn, reply, ended.load, report),
-                (_, whole) => whole,
+            let result = exchange(&pool, to, &call, Some(limit), &protocol, &shared).await;
+            let reply = match (result.streaming_conn, result.reply) {
+                (Some(conn), Some(reply)) => {
+                    return stream_response(pool, to.server, conn, reply, result.load, report);
+                }
+                (_, reply) => reply,
             };
-            let mut conn = ended.conn;
+            let mut conn = result.conn;
             // Returns the connection to the pool before the outcome is reported, so that requests that the engine
             // sends in response can use it.
-            let waiting = match conn.as_mut().map(|c| c.sender.is_ready()) {
+            let not_ready = match conn.as_mut().map(|c| c.sender.is_ready()) {
                 Some(true) => conn.take().and_then(|c| {
                     pool.put(to.server, c);
                     None
                 }),
                 _ => conn,
             };
-            report.end(ended.outcome, ended.load, whole);
-            if let Some(conn) = waiting {
-                put_when_ready(&pool, to.server, conn).await;
+            report.end(result.outcome, result.load, reply);
+            if let Some(conn) = not_ready {
+                return_when_ready(&pool, to.server, conn).await;
             }
         });
-        Attempt { task: task.abort_handle(), flight }
+        Attempt { task: task.abort_handle(), write_progress }
     }
 
-    /// Forwards a request once, without retries, for a proxy that only relays. `right` checks the head of the
+    /// Forwards a request once, without retries, for a proxy that only relays. `is_expected` checks the head of the
     /// response. If it returns false, the response belongs to another request and the connection is closed. Dropping
     /// this future aborts the exchange and closes its connection.
     pub async fn relay(
@@ -294,43 +304,43 @@
         to: Target,
         call: &Call,
         limit: Micros,
-        right: impl FnOnce(StatusCode, &HeaderMap) -> bool,
+        is_expected: impl FnOnce(StatusCode, &HeaderMap) -> bool,
     ) -> RelayOutcome {
-        let (flight, dialect) = (Flight::new(call), self.dialect.borrow().clone());
-        let exchanging = exchange(&self.pool, to, call, Some(limit), &dialect, &flight);
-        let ended = match timeout(Duration::from_micros(limit), exchanging).await {
-            Ok(ended) => ended,
+        let (write_progress, protocol) = (WriteProgress::new(call), self.protocol.borrow().clone());
+        let exchanging = exchange(&self.pool, to, call, Some(limit), &protocol, &write_progress);
+        let result = match timeout(Duration::from_micros(limit), exchanging).await {
+            Ok(result) => result,
             // The connection is closed by now, so nothing more can be written.
-            Err(_) if flight.may_have_run() => return RelayOutcome::Broken(Outcome::TimedOut),
+            Err(_) if write_progress.may_have_run() => return RelayOutcome::Broken(Outcome::TimedOut),
             Err(_) => return RelayOutcome::NotSent,
         };
-        let Some(mut reply) = ended.reply else {
-            return if ended.outcome.never_ran() {
+        let Some(mut reply) = result.reply else {
+            return if result.outcome.never_ran() {
                 RelayOutcome::NotSent
             } else {
-                RelayOutcome::Broken(ended.outcome)
+                RelayOutcome::Broken(result.outcome)
             };
         };
-        if !right(reply.status, &reply.headers) {
+        if !is_expected(reply.status, &reply.headers) {
             return RelayOutcome::Broken(Outcome::Error);
         }
         let pool = self.pool.clone();
-        if let Payload::Streaming(passing) = &mut reply.body {
-            let conn = ended.passing;
-            passing.on_end(move |end| {
+        if let Payload::Streaming(streaming) = &mut reply.body {
+            let conn = result.streaming_conn;
+            streaming.on_end(move |end| {
                 if let (BodyEnd::Complete, Some(conn)) = (end, conn) {
-                    spawn_local(async move { put_when_ready(&pool, to.server, conn).await });
+                    spawn_local(async move { return_when_ready(&pool, to.server, conn).await });
                 }
             });
-        } else if let Some(conn) = ended.conn {
-            spawn_local(async move { put_when_ready(&pool, to.server, conn).await });
+        } else if let Some(conn) = result.conn {
+            spawn_local(async move { return_when_ready(&pool, to.server, conn).await });
         }
         RelayOutcome::Answered(reply)
     }
 
     /// Probes the health of an upstream and reports the elapsed time, the outcome and the load report.
-    pub fn probe(&self, to: Target, told: impl FnOnce(Duration, Outcome, Option<Load>) + 'static) {
-        let (pool, dialect) = (self.pool.clone(), self.dialect.borrow().clone());
+    pub fn probe(&self, to: Target, report: impl FnOnce(Duration, Outcome, Option<Load>) + 'static) {
+        let (pool, protocol) = (self.pool.clone(), self.protocol.borrow().clone());
         let uri = Uri::from_static("/health/live");
         let call = Call {
             method: Method::GET,
@@ -339,12 +349,16 @@
             body: RequestBody::Buffered(Bytes::new()),
         };
         spawn_local(async move {
-            let (flight, start) = (Flight::new(&call), Instant::now());
-            let ended = timeout(CONNECT_UNTOLD, exchange(&pool, to, &call, None, &dialect, &flight)).await;
-            let ended = ended.unwrap_or_else(|_| Outcome::TimedOut.into());
-            told(start.elapsed(), ended.outcome, ended.load);
-            if let Some(conn) = ended.conn {
-                put_when_ready(&pool, to.server, conn).await;
+            let (write_progress, start) = (WriteProgress::new(&call), Instant::now());
+            let result = timeout(
+                DEFAULT_CONNECT_TIMEOUT,
+                exchange(&pool, to, &call, None, &protocol, &write_progress),
+            )
+            .await;
+            let result = result.unwrap_or_else(|_| Outcome::TimedOut.into());
+            report(start.elapsed(), result.outcome, result.load);
+            if let Some(conn) = result.conn {
+                return_when_ready(&pool, to.server, conn).await;
             }
         });
     }
@@ -356,8 +370,8 @@
 }
 
 /// Returns a connection to the pool once it can take another request. Drops the connection if that takes too long.
-async fn put_when_ready(pool: &Pool, server: ServerId, mut conn: Conn) {
-    if let Ok(Ok(())) = timeout(TURN_ROUND, conn.sender.ready()).await {
+async fn return_when_ready(pool: &Pool, server: ServerId, mut conn: Conn) {
+    if let Ok(Ok(())) = timeout(REUSE_READY_TIMEOUT, conn.sender.ready()).await {
         pool.put(server, conn);
     }
 }
@@ -369,9 +383,9 @@
     to: Target,
     call: &Call,
     limit: Option<Micros>,
-    dialect: &UpstreamProtocol,
-    flight: &Flight,
-) -> Exchanged {
+    protocol: &UpstreamProtocol,
+    write_progress: &WriteProgress,
+) -> ExchangeResult {
     let start = Instant::now();
     loop {
         let (mut conn, reused) = match pool.take(to) {
@@ -381,25 +395,29 @@
                 Err(outcome) => return outcome.into(),
             },
         };
-        flight.begin(&conn);
-        let left = limit.map(|l| l.saturating_sub(start.elapsed().as_micros() as Micros));
-        let number = pool.next_attempt();
-        match conn.sender.try_send_request(call.request(to.address, left, dialect, number)).await {
-            Ok(response) => return read(response, conn, dialect, number).await,
+        write_progress.start(&conn);
+        let time_left = limit.map(|l| l.saturating_sub(start.elapsed().as_micros() as Micros));
+        let attempt_number = pool.next_attempt();
+        match conn
+            .sender
+            .try_send_request(call.request(to.address, time_left, protocol, attempt_number))
+            .await
+        {
+            Ok(response) => return read_response(response, conn, protocol, attempt_number).await,
             Err(mut e) => {
-                let untouched = e.take_message().is_some();
-                if untouched && reused {
+                let is_unsent = e.take_message().is_some();
+                if is_unsent && reused {
                     continue;
                 }
-                let ran = !untouched && flight.may_have_run();
-                return if ran { Outcome::Reset } else { Outcome::ConnectFailed }.into();
+                let may_have_run = !is_unsent && write_progress.may_have_run();
+                return if may_have_run { Outcome::Reset } else { Outcome::ConnectFailed }.into();
             }
         }
     }
 }
 
 /// Forwards the head of a streamed response. The attempt ends when the body ends.
-fn pass<W: Transport<Reply = Reply>>(
+fn stream_response<W: Transport<Reply = Reply>>(
     pool: Rc<Pool>,
     server: ServerId,
     conn: Conn,
@@ -407,81 +425,82 @@
     load: Option<Load>,
     report: AttemptReport<W>,
 ) {
-    let opening = report.response_start();
-    if let Payload::Streaming(passing) = &mut reply.body {
-        passing.on_end(move |end| match end {
+    let response_start = report.response_start();
+    if let Payload::Streaming(streaming) = &mut reply.body {
+        streaming.on_end(move |end| match end {
             BodyEnd::Complete => {
                 report.end(Outcome::Ok, load, None);
-                spawn_local(async move { put_when_ready(&pool, server, conn).await });
+                spawn_local(async move { return_when_ready(&pool, server, conn).await });
             }
-            // The connection is dropped here too, because its state is unknown.
+            // Dropping the closure also closes the connection, because no more of the response is expected on it.
             BodyEnd::Failed => report.end(Outcome::Reset, load, None),
             BodyEnd::Abandoned => report.end(Outcome::Cancelled, load, None),
         });
     }
-    opening.begin(reply);
+    response_start.begin(reply);
 }
 
 /// Reads a response up to the buffer limit and determines its outcome. The connection is reusable only if the whole
 /// response was read.
-async fn read(
+async fn read_response(
     response: Response<Incoming>,
     conn: Conn,
-    dialect: &UpstreamProtocol,
-    number: u64,
-) -> Exchanged {
+    protocol: &UpstreamProtocol,
+    attempt_number: u64,
+) -> ExchangeResult {
     let (mut head, mut body) = response.into_parts();
     // The response belongs to another attempt and says nothing about this one. Its connection is closed.
-    if let Some(name) = &dialect.echo_header
-        && head.headers.remove(name) != Some(HeaderValue::from(number))
+    if let Some(name) = &protocol.echo_header
+        && head.headers.remove(name) != Some(HeaderValue::from(attempt_number))
     {
         return Outcome::Reset.into();
     }
-    let declined = dialect.declines(head.status, &head.headers);
-    let load = head.headers.get("srv-load").and_then(|v| v.to_str().ok()).map(load);
-    let served = !declined && dialect.served(head.status);
-    let (exact, most) = (body.size_hint().exact(), dialect.max_response_bytes as u64);
-    let long = exact.is_some_and(|length| length > dialect.max_buffered_bytes as u64);
+    let declined = protocol.is_declined(head.status, &head.headers);
+    let load = head.headers.get("srv-load").and_then(|v| v.to_str().ok()).map(parse_load_report);
+    let served = !declined && protocol.is_served(head.status);
+    let (exact, max_bytes) = (body.size_hint().exact(), protocol.max_response_bytes as u64);
+    let long = exact.is_some_and(|length| length > protocol.max_buffered_bytes as u64);
     // The outcome of an incomplete or oversized response. Such a response proves nothing, and its decline mark does
     // not count either.
-    let spoilt = Exchanged { load, ..Outcome::Reset.into() };
-    if exact.is_some_and(|length| length > most) || (long && !served) {
-        return spoilt;
+    let invalid = ExchangeResult { load, ..Outcome::Reset.into() };
+    if exact.is_some_and(|length| length > max_bytes) || (long && !served) {
+        return invalid;
     }
-    let mut held: Vec<Bytes> = Vec::new();
+    let mut buffered: Vec<Bytes> = Vec::new();
     let mut length = 0;
     while let Some(frame) = body.frame().await {
-        let Ok(frame) = frame else { return spoilt };
+        let Ok(frame) = frame else { return invalid };
         let Ok(data) = frame.into_data() else { continue };
         length += data.len();
-        held.push(data);
-        if length > dialect.max_buffered_bytes || long {
-            if !served || length as u64 > most {
-                return spoilt;
+        buffered.push(data);
+        if length > protocol.max_buffered_bytes || long {
+            if !served || length as u64 > max_bytes {
+                return invalid;
             }
-            let passing = StreamingBody::new(joined(held), body, most - length as u64);
-            let (status, headers, body) = (head.status, head.headers, Payload::Streaming(Box::new(passing)));
+            let streaming = StreamingBody::new(concat_chunks(buffered), body, max_bytes - length as u64);
+            let (status, headers, body) =
+                (head.status, head.headers, Payload::Streaming(Box::new(streaming)));
             let reply = Some(Reply { status, headers, body });
-            return Exchanged { load, reply, passing: Some(conn), ..Outcome::Ok.into() };
+            return ExchangeResult { load, reply, streaming_conn: Some(conn), ..Outcome::Ok.into() };
         }
     }
     let (outcome, reply) = match head.status {
         _ if declined => (Outcome::Full, None),
         status if served => {
-            let body = joined(held).into();
+            let body = concat_chunks(buffered).into();
             (Outcome::Ok, Some(Reply { status, headers: head.headers, body }))
         }
-        status if dialect.forwards_errors && status.is_server_error() => {
-            let body = joined(held).into();
+        status if protocol.forwards_errors && status.is_server_error() => {
+            let body = concat_chunks(buffered).into();
             (Outcome::Error, Some(Reply { status, headers: head.headers, body }))
         }
         _ => (Outcome::Error, None),
     };
-    Exchanged { outcome, load, reply, conn: Some(conn), passing: None }
+    ExchangeResult { outcome, load, reply, conn: Some(conn), streaming_conn: None }
 }
 
 /// Concatenates the chunks of a body. A single chunk, the usual case, is not copied.
-fn joined(mut parts: Vec<Bytes>) -> Bytes {
+fn concat_chunks(mut parts: Vec<Bytes>) -> Bytes {
     match parts.len() {
         0 | 1 => parts.pop().unwrap_or_default(),
         _ => parts.concat().into(),
@@ -489,7 +508,7 @@
 }
 
 /// Parses a load report of the form `name=value,name=value`. Unknown names and invalid values are skipped.
-fn load(text: &str) -> Load {
+fn parse_load_report(text: &str) -> Load {
     let mut load = Load::default();
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
         // A `NaN` or infinite value would stay in the balancer's sums forever.
@@ -517,23 +536,26 @@
     use tokio::task::LocalSet;
 
     /// Reads the head of a request and sends a response to it.
-    async fn serve(stream: &mut TcpStream) {
-        let mut seen = Vec::new();
-        while !seen.ends_with(b"\r\n\r\n") {
-            seen.push(stream.read_u8().await.expect("a request"));
+    async fn respond_ok(stream: &mut TcpStream) {
+        let mut received = Vec::new();
+        while !received.ends_with(b"\r\n\r\n") {
+            received.push(stream.read_u8().await.expect("a request"));
         }
-        stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").await.expect("it reads");
+        stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").await.expect("the client reads");
     }
 
-    /// Runs a test with a client that may open `most` connections, and a listener as its upstream.
-    fn with(most: usize, test: impl AsyncFnOnce(Upstreams, TcpListener, Target)) {
+    /// Runs a test with a client that may open `max_connections` connections, and a listener as its upstream.
+    fn with_upstreams(max_connections: usize, test: impl AsyncFnOnce(Upstreams, TcpListener, Target)) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         LocalSet::new().block_on(&runtime, async {
             let settings = fs::Settings::new(Vec::new());
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let to = Target { server: 0, address: listener.local_addr().expect("an address") };
-            let upstreams =
-                Upstreams::new(&settings.limits, Share::standalone(most), UpstreamProtocol::platform());
+            let upstreams = Upstreams::new(
+                &settings.limits,
+                Share::standalone(max_connections),
+                UpstreamProtocol::platform(),
+            );
             test(upstreams, listener, to).await;
         });
     }
@@ -544,50 +566,55 @@
     }
 
     /// Runs one exchange on a new connection. Returns the upstream's end of the connection and the outcome.
-    async fn once(upstreams: &Upstreams, listener: &TcpListener, to: Target) -> (TcpStream, Outcome) {
+    async fn exchange_once(
+        upstreams: &Upstreams,
+        listener: &TcpListener,
+        to: Target,
+    ) -> (TcpStream, Outcome) {
         let (call, pool) = (call(), &upstreams.pool);
-        let (flight, dialect) = (Flight::new(&call), UpstreamProtocol::platform());
+        let (write_progress, protocol) = (WriteProgress::new(&call), UpstreamProtocol::platform());
         let peer = async {
             let (mut stream, _) = listener.accept().await.expect("a connection");
-            serve(&mut stream).await;
+            respond_ok(&mut stream).await;
             stream
         };
-        let (stream, ended) = tokio::join!(peer, exchange(pool, to, &call, None, &dialect, &flight));
-        if let Some(conn) = ended.conn {
-            put_when_ready(pool, to.server, conn).await;
+        let (stream, result) =
+            tokio::join!(peer, exchange(pool, to, &call, None, &protocol, &write_progress));
+        if let Some(conn) = result.conn {
+            return_when_ready(pool, to.server, conn).await;
         }
-        (stream, ended.outcome)
+        (stream, result.outcome)
     }
 
     #[test]
     fn idle_connections_are_closed_on_request() {
-        with(9, async |upstreams, listener, to| {
-            let (mut stream, outcome) = once(&upstreams, &listener, to).await;
-            assert_eq!((outcome, upstreams.pool.open()), (Outcome::Ok, 1));
+        with_upstreams(9, async |upstreams, listener, to| {
+            let (mut stream, outcome) = exchange_once(&upstreams, &listener, to).await;
+            assert_eq!((outcome, upstreams.pool.open_connections()), (Outcome::Ok, 1));
             upstreams.close_idle(to.server);
-            assert_eq!(stream.read(&mut [0]).await.expect("an end"), 0);
-            assert_eq!(upstreams.pool.open(), 0);
+            assert_eq!(stream.read(&mut [0]).await.expect("end of stream"), 0);
+            assert_eq!(upstreams.pool.open_connections(), 0);
         });
     }
 
     #[test]
-    fn a_full_pool_turns_idle_connections_into_new_ones_and_else_sends_nothing() {
-        with(1, async |upstreams, listener, to| {
-            let (mut first, _) = once(&upstreams, &listener, to).await;
+    fn a_full_pool_replaces_idle_connections_and_otherwise_sends_nothing() {
+        with_upstreams(1, async |upstreams, listener, to| {
+            let (mut first, _) = exchange_once(&upstreams, &listener, to).await;
             // The same listener under another server id counts as another upstream.
-            let (_second, outcome) = once(&upstreams, &listener, Target { server: 1, ..to }).await;
-            assert_eq!((outcome, upstreams.pool.open()), (Outcome::Ok, 1));
-            assert_eq!(first.read(&mut [0]).await.expect("an end"), 0);
-            let held = upstreams.pool.take(Target { server: 1, ..to }).expect("the idle one");
+            let (_second, outcome) = exchange_once(&upstreams, &listener, Target { server: 1, ..to }).await;
+            assert_eq!((outcome, upstreams.pool.open_connections()), (Outcome::Ok, 1));
+            assert_eq!(first.read(&mut [0]).await.expect("end of stream"), 0);
+            let taken = upstreams.pool.take(Target { server: 1, ..to }).expect("an idle connection");
             assert_eq!(upstreams.pool.connect(to.address).await.err(), Some(Outcome::NotSent));
-            drop(held);
+            drop(taken);
         });
     }
 
     #[test]
-    fn a_connection_closed_a_moment_ago_is_seen_before_the_runtime_sees_it() {
-        with(9, async |upstreams, listener, to| {
-            let (stream, _) = once(&upstreams, &listener, to).await;
+    fn a_closed_connection_is_not_reused_before_the_runtime_polls_it() {
+        with_upstreams(9, async |upstreams, listener, to| {
+            let (stream, _) = exchange_once(&upstreams, &listener, to).await;
             drop(stream);
             // The runtime was not polled since, so only the socket itself shows that it is closed.
             assert!(upstreams.pool.take(to).is_none());
@@ -595,41 +622,44 @@
     }
 
     #[test]
-    fn a_connection_that_never_comes_up_has_not_run() {
-        with(9, async |upstreams, listener, to| {
+    fn a_request_without_a_connection_has_not_run() {
+        with_upstreams(9, async |upstreams, listener, to| {
             drop(listener);
             let call = call();
-            let flight = Flight::new(&call);
-            let ended =
-                exchange(&upstreams.pool, to, &call, None, &UpstreamProtocol::platform(), &flight).await;
-            assert_eq!(ended.outcome, Outcome::ConnectFailed);
-            assert!(!flight.may_have_run());
+            let write_progress = WriteProgress::new(&call);
+            let result =
+                exchange(&upstreams.pool, to, &call, None, &UpstreamProtocol::platform(), &write_progress)
+                    .await;
+            assert_eq!(result.outcome, Outcome::ConnectFailed);
+            assert!(!write_progress.may_have_run());
         });
     }
 
     #[test]
-    fn a_request_that_is_not_written_to_its_end_has_not_run() {
-        with(9, async |upstreams, listener, to| {
+    fn a_partly_written_request_has_not_run() {
+        with_upstreams(9, async |upstreams, listener, to| {
             // The body is larger than the socket buffers of a peer that does not read.
             let call = Call {
                 method: Method::POST,
                 body: RequestBody::Buffered(vec![0; 32 << 20].into()),
                 ..call()
             };
-            let (flight, dialect) = (Flight::new(&call), UpstreamProtocol::platform());
+            let (write_progress, protocol) = (WriteProgress::new(&call), UpstreamProtocol::platform());
             let peer = async {
                 let (mut stream, _) = listener.accept().await.expect("a connection");
-                stream.read_u8().await.expect("a beginning");
+                stream.read_u8().await.expect("a first byte");
             };
-            let ((), ended) =
-                tokio::join!(peer, exchange(&upstreams.pool, to, &call, None, &dialect, &flight));
-            assert_eq!(ended.outcome, Outcome::ConnectFailed);
+            let ((), result) =
+                tokio::join!(peer, exchange(&upstreams.pool, to, &call, None, &protocol, &write_progress));
+            assert_eq!(result.outcome, Outcome::ConnectFailed);
         });
     }
 
     #[test]
-    fn a_load_report_is_read_as_far_as_it_is_known() {
-        let read = load("inflight=7,queue=2,util=0.61,latency_ms=1.5,x9=1,eps=?,qps=NaN,eps=-1,util=inf,=,");
+    fn unknown_and_invalid_load_values_are_skipped() {
+        let load = parse_load_report(
+            "inflight=7,queue=2,util=0.61,latency_ms=1.5,x9=1,eps=?,qps=NaN,eps=-1,util=inf,=,",
+        );
         let expected = Load {
             in_flight: Some(7.0),
             queue: Some(2.0),
@@ -637,6 +667,6 @@
             latency: Some(1500),
             ..Load::default()
         };
-        assert_eq!(read, expected);
+        assert_eq!(load, expected);
     }
 }
--- a/http/tests/admission.rs
+++ b/http/tests/admission.rs
@@ -22,9 +22,9 @@
 use tokio::sync::oneshot;
 
 /// A transport that sends nothing.
-struct Deaf;
+struct NullTransport;
 
-impl Transport for Deaf {
+impl Transport for NullTransport {
     type Call = Call;
     type Reply = Reply;
     type Attempt = ();
@@ -57,9 +57,9 @@
 const KEYED: Effect = Effect::Keyed { group: DedupGroup::All, window: 10 * SECOND };
 
 /// Builds a pool with one upstream, a safe and a keyed class, and two tenants.
-fn pool(name: &str, open: usize) -> Rc<Pool<Deaf>> {
+fn pool(name: &str, open: usize) -> Rc<Pool<NullTransport>> {
     let settings = fs::Settings::new(vec![class(Effect::Safe), class(KEYED)]);
-    let engine = Engine::new(settings, &NameTable::default(), 1, Deaf).expect("good settings");
+    let engine = Engine::new(settings, &NameTable::default(), 1, NullTransport).expect("good settings");
     let node = DiscoveryEntry {
         instance: "n".to_owned(),
         address: SocketAddr::from(([127, 0, 0, 1], 1)),
@@ -95,13 +95,16 @@
     }
 }
 
-fn service(pools: &[&Rc<Pool<Deaf>>]) -> Service<Deaf> {
-    let of = |name: &str, effect| RouteClass { name: name.to_owned(), effect, deadline: 4 * SECOND };
-    let side = |pool: &&Rc<Pool<Deaf>>| RoutePool { pool: (*pool).clone(), classes: vec![Some(0), Some(1)] };
+fn service(pools: &[&Rc<Pool<NullTransport>>]) -> Service<NullTransport> {
+    let route_class = |name: &str, effect| RouteClass { name: name.to_owned(), effect, deadline: 4 * SECOND };
+    let route_pool = |pool: &&Rc<Pool<NullTransport>>| RoutePool {
+        pool: (*pool).clone(),
+        classes: vec![Some(0), Some(1)],
+    };
     Service {
-        route_pools: pools.iter().map(side).collect(),
+        route_pools: pools.iter().map(route_pool).collect(),
         split: None,
-        classes: vec![of("look", Effect::Safe), of("pull", KEYED)],
+        classes: vec![route_class("look", Effect::Safe), route_class("pull", KEYED)],
         class_header: Some("x-class".parse().expect("a name")),
         tenant: Some(Source::Header("x-tenant".parse().expect("a name"))),
         key: Some(Source::Header("idempotency-key".parse().expect("a name"))),
@@ -110,7 +113,7 @@
     }
 }
 
-fn front(services: Vec<(Route, Service<Deaf>)>) -> RoutedFrontend<Deaf> {
+fn frontend(services: Vec<(Route, Service<NullTransport>)>) -> RoutedFrontend<NullTransport> {
     let (routes, services): (Vec<_>, Vec<_>) = services.into_iter().map(|(r, s)| (r, Rc::new(s))).unzip();
     RoutedFrontend::new(Routes {
         table: Table::new(routes),
@@ -130,102 +133,114 @@
 }
 
 fn admit(
-    front: &RoutedFrontend<Deaf>,
+    frontend: &RoutedFrontend<NullTransport>,
     path: &str,
     headers: &[(&str, &str)],
-) -> Result<Admission<Deaf>, StatusCode> {
+) -> Result<Admission<NullTransport>, StatusCode> {
     let peer = SocketAddr::from(([127, 0, 0, 9], 9));
-    front.admit(&head(path, headers), peer).map_err(|answer| answer.status())
+    frontend.admit(&head(path, headers), peer).map_err(|response| response.status())
 }
 
 #[test]
-fn a_tenant_is_told_to_the_engine_by_its_number() {
+fn the_engine_gets_the_id_of_the_tenant() {
     let p = pool("p", 8);
-    let front = front(vec![(route("/a"), service(&[&p]))]);
-    let of = |tenant: &str| {
-        admit(&front, "/a", &[("x-class", "look"), ("x-tenant", tenant)]).expect("it is taken").tenant
+    let frontend = frontend(vec![(route("/a"), service(&[&p]))]);
+    let tenant_id = |tenant: &str| {
+        admit(&frontend, "/a", &[("x-class", "look"), ("x-tenant", tenant)])
+            .expect("the request is admitted")
+            .tenant
     };
-    assert_eq!((of("gold"), of("tin")), (Some(0), Some(1)));
+    assert_eq!((tenant_id("gold"), tenant_id("tin")), (Some(0), Some(1)));
     // An unknown tenant and a missing one both count as no tenant.
-    assert_eq!(of("lead"), None);
-    let silent = admit(&front, "/a", &[("x-class", "look")]).expect("it is taken");
-    assert_eq!(silent.tenant, None);
+    assert_eq!(tenant_id("lead"), None);
+    let without_tenant = admit(&frontend, "/a", &[("x-class", "look")]).expect("the request is admitted");
+    assert_eq!(without_tenant.tenant, None);
     // A repeated tenant header is ambiguous.
-    let twice = admit(&front, "/a", &[("x-class", "look"), ("x-tenant", "gold"), ("x-tenant", "tin")]);
-    assert_eq!(twice.err(), Some(StatusCode::BAD_REQUEST));
+    let repeated = admit(&frontend, "/a", &[("x-class", "look"), ("x-tenant", "gold"), ("x-tenant", "tin")]);
+    assert_eq!(repeated.err(), Some(StatusCode::BAD_REQUEST));
     // A reload can assign other tenant ids.
     p.tenants.borrow_mut().clone_from(&HashMap::from([("tin".to_owned(), 0)]));
-    assert_eq!((of("gold"), of("tin")), (None, Some(0)));
+    assert_eq!((tenant_id("gold"), tenant_id("tin")), (None, Some(0)));
 }
 
 #[test]
-fn class_deadline_and_limits_are_the_route_s_own() {
+fn class_deadline_and_limits_come_from_the_route() {
     let p = pool("p", 8);
-    let mut short = service(&[&p]);
-    short.classes[0].deadline = SECOND;
-    short.max_body_bytes = 10;
-    let front = front(vec![(route("/a"), service(&[&p])), (route("/short"), short)]);
-    let look = |path: &str, wait: Option<&str>| {
+    let mut strict = service(&[&p]);
+    strict.classes[0].deadline = SECOND;
+    strict.max_body_bytes = 10;
+    let frontend = frontend(vec![(route("/a"), service(&[&p])), (route("/short"), strict)]);
+    let admit_look = |path: &str, wait: Option<&str>| {
         let mut headers = vec![("x-class", "look")];
         headers.extend(wait.map(|w| ("x-wait", w)));
-        admit(&front, path, &headers).expect("it is taken")
+        admit(&frontend, path, &headers).expect("the request is admitted")
     };
-    assert_eq!(look("/a", None).time_left, 4 * SECOND);
+    assert_eq!(admit_look("/a", None).time_left, 4 * SECOND);
     // A client may shorten the deadline but not extend it.
-    assert_eq!(look("/a", Some("250")).time_left, 250_000);
-    assert_eq!(look("/a", Some("9000")).time_left, 4 * SECOND);
-    assert_eq!(look("/short", Some("9000")).time_left, SECOND);
-    assert_eq!(look("/a", Some("18446744073709551615")).time_left, 4 * SECOND);
-    assert_eq!((look("/a", None).max_body_bytes, look("/short", None).max_body_bytes), (2048, 10));
-    assert_eq!(look("/a", None).response_reservation_bytes, 4096);
-    for wrong in ["", "-1", "1.5", "1e3", " 1", "18446744073709551616"] {
-        let answer = admit(&front, "/a", &[("x-class", "look"), ("x-wait", wrong)]);
+    assert_eq!(admit_look("/a", Some("250")).time_left, 250_000);
+    assert_eq!(admit_look("/a", Some("9000")).time_left, 4 * SECOND);
+    assert_eq!(admit_look("/short", Some("9000")).time_left, SECOND);
+    assert_eq!(admit_look("/a", Some("18446744073709551615")).time_left, 4 * SECOND);
+    assert_eq!(
+        (admit_look("/a", None).max_body_bytes, admit_look("/short", None).max_body_bytes),
+        (2048, 10)
+    );
+    assert_eq!(admit_look("/a", None).response_reservation_bytes, 4096);
+    for value in ["", "-1", "1.5", "1e3", " 1", "18446744073709551616"] {
+        let response = admit(&frontend, "/a", &[("x-class", "look"), ("x-wait", value)]);
         // An empty header counts as missing.
-        assert_eq!(answer.err(), (!wrong.is_empty()).then_some(StatusCode::BAD_REQUEST), "{wrong:?}");
+        assert_eq!(response.err(), (!value.is_empty()).then_some(StatusCode::BAD_REQUEST), "{value:?}");
     }
-    let pull = admit(&front, "/a", &[("x-class", "pull"), ("idempotency-key", "k")]).expect("it is taken");
-    assert_eq!(pull.class, 1);
-    for (headers, why) in [
-        (vec![("x-class", "pull")], "a keyed one without a key"),
-        (vec![("x-class", "pay")], "a class that the route does not give"),
+    let keyed = admit(&frontend, "/a", &[("x-class", "pull"), ("idempotency-key", "k")])
+        .expect("the request is admitted");
+    assert_eq!(keyed.class, 1);
+    for (headers, reason) in [
+        (vec![("x-class", "pull")], "a keyed request without a key"),
+        (vec![("x-class", "pay")], "a class that the route does not have"),
         (vec![], "no class"),
     ] {
-        assert_eq!(admit(&front, "/a", &headers).err(), Some(StatusCode::BAD_REQUEST), "{why}");
+        assert_eq!(admit(&frontend, "/a", &headers).err(), Some(StatusCode::BAD_REQUEST), "{reason}");
     }
 }
 
 #[test]
-fn a_split_keeps_a_tenant_on_its_side_and_counts_it_there() {
+fn a_split_keeps_each_tenant_on_one_pool_and_counts_its_requests_there() {
     let (p, q) = (pool("p", 100), pool("q", 100));
     let mut service = service(&[&p, &q]);
-    let by = Source::Header("x-tenant".parse().expect("a name"));
-    service.split = Some((Split::new([("p", 50), ("q", 50)]), Some(by)));
-    let front = front(vec![(route("/a"), service)]);
-    let mut sides = [0, 0];
-    let mut held = Vec::new();
+    let sticky = Source::Header("x-tenant".parse().expect("a name"));
+    service.split = Some((Split::new([("p", 50), ("q", 50)]), Some(sticky)));
+    let frontend = frontend(vec![(route("/a"), service)]);
+    let mut tenants_by_pool = [0, 0];
+    let mut admissions = Vec::new();
     for n in 0..40 {
         let name = format!("tenant-{n}");
-        let ask = || admit(&front, "/a", &[("x-class", "look"), ("x-tenant", &name)]).expect("it is taken");
-        let (once, again) = (ask(), ask());
-        assert!(Rc::ptr_eq(&once.engine, &again.engine), "{name} changed sides");
-        sides[usize::from(Rc::ptr_eq(&once.engine, &q.engine))] += 1;
-        held.extend([once, again]);
+        let admit_request = || {
+            admit(&frontend, "/a", &[("x-class", "look"), ("x-tenant", &name)])
+                .expect("the request is admitted")
+        };
+        let (first, second) = (admit_request(), admit_request());
+        assert!(Rc::ptr_eq(&first.engine, &second.engine), "{name} changed pools");
+        tenants_by_pool[usize::from(Rc::ptr_eq(&first.engine, &q.engine))] += 1;
+        admissions.extend([first, second]);
     }
-    assert!(sides.iter().all(|n| *n > 5), "{sides:?}");
-    assert_eq!((p.open_requests.used(), q.open_requests.used()), (2 * sides[0], 2 * sides[1]));
+    assert!(tenants_by_pool.iter().all(|n| *n > 5), "{tenants_by_pool:?}");
+    assert_eq!(
+        (p.open_requests.used(), q.open_requests.used()),
+        (2 * tenants_by_pool[0], 2 * tenants_by_pool[1])
+    );
     assert!(p.uses_class(0) && !p.uses_class(1));
-    drop(held);
+    drop(admissions);
     assert_eq!((p.open_requests.used(), q.open_requests.used(), p.uses_class(0)), (0, 0, false));
 }
 
 #[test]
-fn a_full_pool_refuses_and_leaves_the_other_alone() {
+fn a_full_pool_refuses_requests_without_affecting_other_pools() {
     let (p, q) = (pool("p", 2), pool("q", 2));
-    let front = front(vec![(route("/p"), service(&[&p])), (route("/q"), service(&[&q]))]);
-    let ask = |path: &str| admit(&front, path, &[("x-class", "look")]);
-    let held = [ask("/p"), ask("/p")];
-    assert_eq!(ask("/p").err(), Some(StatusCode::SERVICE_UNAVAILABLE));
-    assert!(ask("/q").is_ok());
-    drop(held);
-    assert!(ask("/p").is_ok());
+    let frontend = frontend(vec![(route("/p"), service(&[&p])), (route("/q"), service(&[&q]))]);
+    let admit_request = |path: &str| admit(&frontend, path, &[("x-class", "look")]);
+    let admissions = [admit_request("/p"), admit_request("/p")];
+    assert_eq!(admit_request("/p").err(), Some(StatusCode::SERVICE_UNAVAILABLE));
+    assert!(admit_request("/q").is_ok());
+    drop(admissions);
+    assert!(admit_request("/p").is_ok());
 }
