--- a/http/src/client_io.rs
+++ b/http/src/client_io.rs
@@ -98,7 +98,7 @@
 }
 
 impl IdleConnections {
-    /// Creates an empty set.
+    /// Creates an empty set of idle connections. All connections of the listener use these time limits.
     pub fn new(timeouts: StageTimeouts) -> Rc<IdleConnections> {
         Rc::new(IdleConnections {
             timeouts: Cell::new(timeouts),
@@ -182,7 +182,7 @@
         self.enter(Stage::Idle);
     }
 
-    /// Returns the current stage.
+    /// Returns the current stage of the connection.
     pub fn stage(&self) -> Stage {
         self.stage.get()
     }
--- a/http/src/framing.rs
+++ b/http/src/framing.rs
@@ -16,7 +16,7 @@
 }
 
 /// Parses the head of a request. Returns its length in bytes and the framing of the body, or `None` while the head
-/// is incomplete.
+/// is incomplete. The error means that the head is malformed or its framing is ambiguous.
 pub fn parse_request_head(bytes: &[u8]) -> Result<Option<(usize, Framing)>, ()> {
     let mut lines = [EMPTY_HEADER; MAX_HEADER_LINES];
     let mut head = Request::new(&mut lines);
--- a/http/src/lib.rs
+++ b/http/src/lib.rs
@@ -17,5 +17,5 @@
 /// Default size in bytes up to which a response is buffered whole before it is forwarded. While a response is
 /// buffered, the request can still be retried on another upstream. Larger responses are streamed.
 pub const MAX_BUFFERED_BYTES: usize = 64 * 1024;
-/// Maximum number of bytes read ahead of a message, in bytes. A longer head is rejected.
+/// Maximum size of hyper's read buffer for a connection, in bytes. A longer message head is rejected.
 const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
--- a/http/src/server.rs
+++ b/http/src/server.rs
@@ -145,7 +145,7 @@
         self.posture.send_if_modified(|current| std::mem::replace(current, posture) != posture);
     }
 
-    /// Returns the frontend.
+    /// Returns the frontend that decides how requests are handled.
     pub fn frontend(&self) -> &F {
         &self.frontend
     }
--- a/http/src/upstream.rs
+++ b/http/src/upstream.rs
@@ -244,7 +244,7 @@
         }
     }
 
-    /// Changes the configuration. Running attempts keep the previous one.
+    /// Changes the limits and the protocol for new attempts. Running attempts keep the previous one.
     pub fn set_config(&self, limits: &fs::Limits, protocol: UpstreamProtocol) {
         self.pool.set_limits(limits);
         *self.protocol.borrow_mut() = Rc::new(protocol);
