--- a/mesh/storage/src/lib.rs
+++ b/mesh/storage/src/lib.rs
@@ -1,9 +1,11 @@
-//! What a core machine keeps on disk: one `redb` file with the rows of the state and what must not be forgotten of
-//! promises and views. Each [`Store::write`] is one transaction: all of it is there after a loss of power, or nothing.
+//! Persistent storage of a control-plane machine: one `redb` file with the rows of the state and the durable
+//! replication state (promises and views). Each [`Store::write`] is one transaction: after a power loss
+//! either all of it or nothing is in the file.
 //!
-//! Format 2: table `meta` holds under `format` the number 2 and under `durable` a [`DurableState`] as MessagePack; table `rows` holds
-//! the state's rows as they are. A file is made under another name, synced, renamed and its folder synced, so that a file
-//! of this name is never half made.
+//! Format 2: table `meta` holds the number 2 under the key `format` and a [`DurableState`] as MessagePack
+//! under the key `durable`; table `rows` holds the rows of the state unchanged. A new file is created under a
+//! temporary name, synced and renamed, and then its folder is synced, so that a file with the final name is
+//! always complete.
 
 use std::fmt;
 use std::fs::{self, File};
@@ -19,47 +21,56 @@
 };
 use sloeline_chain_replication::{DurableState, Write};
 
-const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
-const ROWS: TableDefinition<&[u8], &[u8]> = TableDefinition::new("rows");
-const FORMAT: &[u8] = &[2];
+/// The table with the format number and the durable state.
+const META_TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
+/// The table with the rows of the state.
+const ROWS_TABLE: TableDefinition<&[u8], &[u8]> = TableDefinition::new("rows");
+/// The format number of the files that this version reads and writes.
+const FORMAT_VERSION: &[u8] = &[2];
+/// Name of the store file within its folder.
 const FILE: &str = "signals.redb";
-const NEW: &str = "signals.new";
-const DOUBTFUL: &str = "signals.doubtful";
-/// Memory for pages of the file.
-const CACHE: usize = 8 << 20;
-
-/// An open file.
+/// Temporary name of a store file while it is created.
+const NEW_FILE: &str = "signals.new";
+/// Name to which a corrupt store file is moved.
+const QUARANTINED_FILE: &str = "signals.doubtful";
+/// Size of the page cache in bytes.
+const CACHE_BYTES: usize = 8 << 20;
+
+/// An open store file.
 pub struct Store {
+    /// The open `redb` database.
     database: Database,
 }
 
-/// Rows of the state: keys and values.
+/// Rows of the state as pairs of key and value.
 pub type Rows = Vec<(Bytes, Bytes)>;
 
-/// Whether a store is there. A disk that was lost has none.
+/// Whether a store file exists in the folder. A machine whose disk was lost has none.
 pub fn exists(folder: &Path) -> Result<bool> {
-    folder.join(FILE).try_exists().with_context(|| format!("look for {}", folder.join(FILE).display()))
+    folder.join(FILE).try_exists().with_context(|| format!("check for {}", folder.join(FILE).display()))
 }
 
+/// Database options that are common to all ways of opening a store.
 fn builder() -> Builder {
     let mut builder = Database::builder();
-    builder.set_cache_size(CACHE);
+    builder.set_cache_size(CACHE_BYTES);
     builder
 }
 
-/// The file is there and holds no store: to open it again will not help. Everything else that goes wrong may pass.
+/// Error: the file exists but holds no valid store, so opening it again cannot succeed. Other errors may be
+/// temporary.
 #[derive(Debug)]
 pub struct StoreCorrupt;
 
 impl fmt::Display for StoreCorrupt {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the file is spoilt")
+        write!(f, "the store file is corrupt")
     }
 }
 
 impl std::error::Error for StoreCorrupt {}
 
-/// The file is a store of another format, made by another release.
+/// Error: the store has a different format, written by another release; the field is that format's number.
 #[derive(Debug)]
 pub struct FormatMismatch(u8);
 
@@ -68,117 +79,124 @@
         write!(
             f,
             "format: found {}, expected {}: move the file away to start as a new machine",
-            self.0, FORMAT[0]
+            self.0, FORMAT_VERSION[0]
         )
     }
 }
 
 impl std::error::Error for FormatMismatch {}
 
-/// Whether an error says that the store is of another format.
-pub fn is_format_mismatch(why: &anyhow::Error) -> bool {
-    why.chain().any(|cause| cause.is::<FormatMismatch>())
+/// Whether an error was caused by a store of a different format.
+pub fn is_format_mismatch(error: &anyhow::Error) -> bool {
+    error.chain().any(|cause| cause.is::<FormatMismatch>())
 }
 
-/// Whether an error says that the file is spoilt.
-pub fn is_corrupt(why: &anyhow::Error) -> bool {
-    let corrupted = |e: &StorageError| match e {
+/// Whether an error was caused by a corrupt store file.
+pub fn is_corrupt(error: &anyhow::Error) -> bool {
+    let is_corrupted = |e: &StorageError| match e {
         StorageError::Corrupted(_) => true,
         StorageError::Io(e) => matches!(e.kind(), ErrorKind::InvalidData | ErrorKind::UnexpectedEof),
         _ => false,
     };
-    why.chain().any(|cause| {
-        let storage = cause.downcast_ref::<StorageError>().is_some_and(corrupted);
+    error.chain().any(|cause| {
+        let storage = cause.downcast_ref::<StorageError>().is_some_and(is_corrupted);
         let opening =
-            matches!(cause.downcast_ref::<DatabaseError>(), Some(DatabaseError::Storage(e)) if corrupted(e));
+            matches!(cause.downcast_ref::<DatabaseError>(), Some(DatabaseError::Storage(e)) if is_corrupted(e));
         let table =
             matches!(cause.downcast_ref::<TableError>(), Some(e) if !matches!(e, TableError::Storage(_)));
         cause.is::<StoreCorrupt>() || storage || opening || table
     })
 }
 
-/// What a spoilt file makes of the library is an error here as well, be it a panic.
-fn guarded<T>(open: impl FnOnce() -> Result<T>) -> Result<T> {
+/// Runs `open` and turns a panic into an error, because `redb` may panic on a corrupt file.
+fn catch_panics<T>(open: impl FnOnce() -> Result<T>) -> Result<T> {
     catch_unwind(AssertUnwindSafe(open)).unwrap_or_else(|_| Err(StoreCorrupt.into()))
 }
 
+/// Opens or creates the database file at `path`.
 fn open(path: &Path) -> Result<Database> {
-    guarded(|| builder().create(path).with_context(|| format!("open {}", path.display())))
+    catch_panics(|| builder().create(path).with_context(|| format!("open {}", path.display())))
 }
 
-/// Sets a file aside that does not open: this disk is as good as lost, and the next start finds none.
+/// Renames a corrupt store file so that the next start finds no store. The machine then counts as having lost
+/// its disk.
 pub fn quarantine(folder: &Path) -> Result<()> {
-    fs::rename(folder.join(FILE), folder.join(DOUBTFUL)).context("set the spoilt file aside")?;
+    fs::rename(folder.join(FILE), folder.join(QUARANTINED_FILE)).context("rename the corrupt store file")?;
     File::open(folder).and_then(|f| f.sync_all()).context("sync the folder")
 }
 
 impl Store {
-    /// Makes the file, which must not be there.
+    /// Creates the store file, which must not exist yet.
     pub fn create(folder: &Path, durable: &DurableState) -> Result<Store> {
-        fs::create_dir_all(folder).with_context(|| format!("make {}", folder.display()))?;
-        let (new, path): (PathBuf, PathBuf) = (folder.join(NEW), folder.join(FILE));
+        fs::create_dir_all(folder).with_context(|| format!("create {}", folder.display()))?;
+        let (new, path): (PathBuf, PathBuf) = (folder.join(NEW_FILE), folder.join(FILE));
         match fs::remove_file(&new) {
-            Err(e) if e.kind() != ErrorKind::NotFound => return Err(e).context("remove what was half made"),
+            Err(e) if e.kind() != ErrorKind::NotFound => {
+                return Err(e).context("remove the incomplete store file");
+            }
             _ => {}
         }
         let store = Store { database: open(&new)? };
-        store.begin(durable)?;
+        store.initialize(durable)?;
         drop(store);
         fs::rename(&new, &path).with_context(|| format!("rename to {}", path.display()))?;
         File::open(folder).and_then(|f| f.sync_all()).context("sync the folder")?;
         Ok(Store { database: open(&path)? })
     }
 
-    fn begin(&self, durable: &DurableState) -> Result<()> {
-        let transaction = self.database.begin_write().context("begin the first write")?;
+    /// Writes the format number and the first durable state, and creates the tables.
+    fn initialize(&self, durable: &DurableState) -> Result<()> {
+        let transaction = self.database.begin_write().context("begin the first write transaction")?;
         {
-            let mut meta = transaction.open_table(META)?;
-            meta.insert("format", FORMAT)?;
+            let mut meta = transaction.open_table(META_TABLE)?;
+            meta.insert("format", FORMAT_VERSION)?;
             meta.insert("durable", rmp_serde::to_vec(durable)?.as_slice())?;
-            transaction.open_table(ROWS)?;
+            transaction.open_table(ROWS_TABLE)?;
         }
-        transaction.commit().context("commit the first write")
+        transaction.commit().context("commit the first write transaction")
     }
 
-    /// A new store on something else than a file.
+    /// Creates a store on a custom storage backend.
     pub fn create_with_backend(backend: impl StorageBackend, durable: &DurableState) -> Result<Store> {
         let store = Store { database: builder().create_with_backend(backend).context("open the backend")? };
-        store.begin(durable)?;
+        store.initialize(durable)?;
         Ok(store)
     }
 
-    /// Opens what [`create_with_backend`](Store::create_with_backend) made and reads all of it.
+    /// Opens a store made by [`create_with_backend`](Store::create_with_backend) and reads its durable state
+    /// and all rows.
     pub fn open_with_backend(backend: impl StorageBackend) -> Result<(Store, DurableState, Rows)> {
-        guarded(|| Store::read(builder().create_with_backend(backend).context("open the backend")?))
+        catch_panics(|| Store::read(builder().create_with_backend(backend).context("open the backend")?))
     }
 
-    /// Opens the file and reads all of it.
+    /// Opens the store file and reads its durable state and all rows.
     pub fn open(folder: &Path) -> Result<(Store, DurableState, Rows)> {
         let path = folder.join(FILE);
-        guarded(|| Store::read(builder().create(&path).with_context(|| format!("open {}", path.display()))?))
+        catch_panics(|| {
+            Store::read(builder().create(&path).with_context(|| format!("open {}", path.display()))?)
+        })
     }
 
+    /// Checks the format of an open database and reads its durable state and all rows.
     fn read(database: Database) -> Result<(Store, DurableState, Rows)> {
         let store = Store { database };
-        let transaction = store.database.begin_read().context("begin to read")?;
-        let meta = transaction.open_table(META).context("read the table meta")?;
+        let transaction = store.database.begin_read().context("begin a read transaction")?;
+        let meta = transaction.open_table(META_TABLE).context("read the table meta")?;
         let format = meta.get("format")?.map(|v| v.value().to_vec());
         match format.as_deref() {
-            Some(format) if format == FORMAT => {}
-            // It may hold what was acknowledged: it is neither read nor set aside.
+            Some(format) if format == FORMAT_VERSION => {}
+            // The store may hold acknowledged updates, so it is neither read nor moved away.
             Some(&[other]) => return Err(FormatMismatch(other).into()),
             _ => {
                 return Err(StoreCorrupt)
-                    .with_context(|| format!("format: found {format:?}, expected {FORMAT:?}"));
+                    .with_context(|| format!("format: found {format:?}, expected {FORMAT_VERSION:?}"));
             }
         }
-        let durable = meta
-            .get("durable")?
-            .context("durable: found nothing, expected what this machine has promised")?;
+        let durable = meta.get("durable")?.context("durable: found nothing, expected the durable state")?;
         let durable: DurableState =
             rmp_serde::from_slice(durable.value()).context("read the durable state")?;
         let mut rows = Rows::new();
-        for row in transaction.open_table(ROWS).context("read the table rows")?.iter()? {
+        for row in transaction.open_table(ROWS_TABLE).context("read the table rows")?.iter()? {
             let (key, value) = row?;
             rows.push((Bytes::copy_from_slice(key.value()), Bytes::copy_from_slice(value.value())));
         }
@@ -186,27 +204,27 @@
         Ok((store, durable, rows))
     }
 
-    /// Writes all of these, in order, and syncs once. With an error nothing of them counts as kept, and the store is to be
-    /// opened anew.
+    /// Writes all of these in order, as one transaction with one sync. After an error none of them counts as
+    /// stored, and the store must be opened again.
     pub fn write(&self, writes: &[Write]) -> Result<()> {
         let Some(last) = writes.last() else { return Ok(()) };
-        let mut transaction = self.database.begin_write().context("begin to write")?;
+        let mut transaction = self.database.begin_write().context("begin a write transaction")?;
         transaction.set_durability(Durability::Immediate).context("set durability")?;
         {
-            let mut meta = transaction.open_table(META)?;
+            let mut meta = transaction.open_table(META_TABLE)?;
             meta.insert("durable", rmp_serde::to_vec(&last.durable)?.as_slice())?;
-            let from = writes.iter().rposition(|w| w.replace_all);
-            if from.is_some() {
-                transaction.delete_table(ROWS)?;
+            let last_replacement = writes.iter().rposition(|w| w.replace_all);
+            if last_replacement.is_some() {
+                transaction.delete_table(ROWS_TABLE)?;
             }
-            let mut rows = transaction.open_table(ROWS)?;
-            for (key, value) in writes[from.unwrap_or(0)..].iter().flat_map(|w| &w.rows) {
+            let mut rows = transaction.open_table(ROWS_TABLE)?;
+            for (key, value) in writes[last_replacement.unwrap_or(0)..].iter().flat_map(|w| &w.rows) {
                 match value {
                     Some(value) => rows.insert(key.as_ref(), value.as_ref())?,
                     None => rows.remove(key.as_ref())?,
                 };
             }
         }
-        transaction.commit().context("commit")
+        transaction.commit().context("commit the write transaction")
     }
 }
--- a/mesh/storage/tests/torn.rs
+++ b/mesh/storage/tests/torn.rs
@@ -1,4 +1,5 @@
-//! The store after a loss of power: cut or spoilt anywhere, it opens with what was synced, or says that it does not.
+//! Tests of the store after a power loss or file corruption: it opens with everything that was synced, or
+//! reports that it is corrupt.
 
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex};
@@ -9,47 +10,53 @@
 use sloeline_chain_replication::{DurableState, VoterSet, Write};
 use sloeline_storage::{Store, exists, is_corrupt};
 
-struct Folder(PathBuf);
+/// A temporary folder that is removed when dropped.
+struct TempFolder(PathBuf);
 
-impl Folder {
-    fn new(name: &str) -> Folder {
+impl TempFolder {
+    /// An empty folder with a unique name.
+    fn new(name: &str) -> TempFolder {
         let path = std::env::temp_dir().join(format!("sloeline-storage-{}-{name}", std::process::id()));
         let _ = fs::remove_dir_all(&path);
-        Folder(path)
+        TempFolder(path)
     }
 
+    /// The path of the folder.
     fn path(&self) -> &Path {
         &self.0
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
+/// The durable state of a founder.
 fn durable() -> DurableState {
     DurableState::founder(VoterSet::founders(&[([10, 0, 0, 1], 1).into()]))
 }
 
+/// A row; an empty value deletes the row.
 fn row(key: &str, value: &str) -> (Bytes, Option<Bytes>) {
     let value = (!value.is_empty()).then(|| Bytes::copy_from_slice(value.as_bytes()));
     (Bytes::copy_from_slice(key.as_bytes()), value)
 }
 
-fn write(token: u64, rows: Vec<(Bytes, Option<Bytes>)>, replace: bool) -> Write {
+/// A write whose durable state has the token as its sequence number.
+fn write(token: u64, rows: Vec<(Bytes, Option<Bytes>)>, replace_all: bool) -> Write {
     let mut durable = durable();
     durable.position.sequence = token;
-    Write { token, durable, rows, replace_all: replace }
+    Write { token, durable, rows, replace_all }
 }
 
 #[test]
-fn writes_are_there_in_their_order_and_a_replacement_takes_all_others_away() {
-    let folder = Folder::new("order");
-    assert!(!exists(folder.path()).expect("a look"));
-    let store = Store::create(folder.path(), &durable()).expect("a store");
-    assert!(exists(folder.path()).expect("a look"));
+fn writes_apply_in_order_and_replace_all_deletes_earlier_rows() {
+    let folder = TempFolder::new("order");
+    assert!(!exists(folder.path()).expect("check for the store file"));
+    let store = Store::create(folder.path(), &durable()).expect("create the store");
+    assert!(exists(folder.path()).expect("check for the store file"));
     store
         .write(&[
             write(1, vec![row("a", "1"), row("b", "1")], false),
@@ -57,31 +64,40 @@
             write(3, vec![row("c", "3")], true),
             write(4, vec![row("d", "4")], false),
         ])
-        .expect("a write");
+        .expect("write");
     drop(store);
-    let (_, durable, rows) = Store::open(folder.path()).expect("the store");
+    let (_, durable, rows) = Store::open(folder.path()).expect("open the store");
     let names: Vec<&[u8]> = rows.iter().map(|(key, _)| key.as_ref()).collect();
     assert_eq!((durable.position.sequence, names), (4, vec![&b"c"[..], b"d"]));
 }
 
-/// A disk that loses power: what was synced is there, of each later write all, nothing, or a first part.
+/// A storage backend that can lose power. Synced data is kept; each later write survives fully, partly or not
+/// at all.
 #[derive(Clone, Debug, Default)]
-struct Disk(Arc<Mutex<Bytewise>>);
+struct Disk(Arc<Mutex<DiskContents>>);
 
+/// The contents of a simulated disk.
 #[derive(Debug, Default)]
-struct Bytewise {
+struct DiskContents {
+    /// The bytes that survive a power loss.
     synced: Vec<u8>,
-    seen: Vec<u8>,
-    since: Vec<Change>,
+    /// The bytes that reads return: everything written so far.
+    current: Vec<u8>,
+    /// Changes since the last sync.
+    unsynced: Vec<Change>,
 }
 
+/// A change of the disk that is not synced yet.
 #[derive(Debug)]
 enum Change {
+    /// The new length of the disk in bytes.
     Length(usize),
+    /// Bytes written at an offset.
     Write(usize, Vec<u8>),
 }
 
 impl Change {
+    /// Applies the change to the contents of a disk.
     fn apply(&self, to: &mut Vec<u8>) {
         match self {
             Change::Length(length) => to.resize(*length, 0),
@@ -94,21 +110,23 @@
 }
 
 impl Disk {
-    fn lock(&self) -> std::sync::MutexGuard<'_, Bytewise> {
-        self.0.lock().expect("no panic before")
+    /// Locks the contents.
+    fn lock(&self) -> std::sync::MutexGuard<'_, DiskContents> {
+        self.0.lock().expect("lock is not poisoned")
     }
 
+    /// Applies a change that is not synced yet.
     fn change(&self, change: Change) {
         let mut disk = self.lock();
-        change.apply(&mut disk.seen);
-        disk.since.push(change);
+        change.apply(&mut disk.current);
+        disk.unsynced.push(change);
     }
 
-    /// What is there after a loss of power now.
+    /// The disk as it may be after a power loss at this moment.
     fn lose_power(&self, rng: &mut fastrand::Rng) -> Disk {
         let disk = self.lock();
         let mut left = disk.synced.clone();
-        for change in &disk.since {
+        for change in &disk.unsynced {
             match (rng.u8(..3), change) {
                 (0, _) => {}
                 (1, Change::Write(at, bytes)) => {
@@ -118,18 +136,18 @@
                 (_, change) => change.apply(&mut left),
             }
         }
-        Disk(Arc::new(Mutex::new(Bytewise { synced: left.clone(), seen: left, since: Vec::new() })))
+        Disk(Arc::new(Mutex::new(DiskContents { synced: left.clone(), current: left, unsynced: Vec::new() })))
     }
 }
 
 impl StorageBackend for Disk {
     fn len(&self) -> io::Result<u64> {
-        Ok(self.lock().seen.len() as u64)
+        Ok(self.lock().current.len() as u64)
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
         let (disk, at) = (self.lock(), offset as usize);
-        out.copy_from_slice(disk.seen.get(at..at + out.len()).ok_or(io::ErrorKind::UnexpectedEof)?);
+        out.copy_from_slice(disk.current.get(at..at + out.len()).ok_or(io::ErrorKind::UnexpectedEof)?);
         Ok(())
     }
 
@@ -140,8 +158,8 @@
 
     fn sync_data(&self) -> io::Result<()> {
         let mut disk = self.lock();
-        disk.synced = disk.seen.clone();
-        disk.since.clear();
+        disk.synced = disk.current.clone();
+        disk.unsynced.clear();
         Ok(())
     }
 
@@ -151,71 +169,72 @@
     }
 }
 
-/// A write is there whole or not at all, and once it was told as synced it is there.
+/// Each write must be stored completely or not at all, and it must be there once it was reported as synced.
 #[test]
-fn after_a_loss_of_power_at_any_moment_a_store_holds_what_was_synced_and_nothing_by_halves() {
+fn power_loss_keeps_synced_writes_and_no_partial_write() {
     let mut opened = 0;
     for seed in 0..150 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut disk = Disk::default();
-        let mut store = Store::create_with_backend(disk.clone(), &durable()).expect("a store");
+        let mut store = Store::create_with_backend(disk.clone(), &durable()).expect("create the store");
         let mut synced = 0;
         for round in 0..6 {
             let first = synced + 1;
             let last = synced + rng.u64(1..4);
             let mut images = Vec::new();
             for token in first..=last {
-                // Each write says its number in three rows; one in four replaces all.
+                // Each write stores its number in three rows; one in four replaces all rows.
                 let number = token.to_string();
                 let rows = ["a", "b", "c"].map(|key| row(key, &number)).to_vec();
                 images.push((synced, disk.lose_power(&mut rng)));
-                store.write(&[write(token, rows, rng.u8(..4) == 0)]).expect("a write");
+                store.write(&[write(token, rows, rng.u8(..4) == 0)]).expect("write");
                 synced = token;
                 images.push((synced, disk.lose_power(&mut rng)));
             }
-            let (least, image) = images.swap_remove(rng.usize(..images.len()));
-            // The library's own end writes too; it is not heard of here.
+            let (min_token, image) = images.swap_remove(rng.usize(..images.len()));
+            // Dropping the store would write to the backend, as a clean shutdown does, so it is leaked
+            // instead.
             std::mem::forget(store);
             let (again, durable, rows) = Store::open_with_backend(image.clone())
                 .unwrap_or_else(|e| panic!("seed {seed}, round {round}: {e:#}"));
-            let held = durable.position.sequence;
-            assert!(held >= least && held <= last, "seed {seed}: {held} of {least} to {last}");
-            let expected = if held == 0 { 0 } else { 3 };
+            let stored = durable.position.sequence;
+            assert!(stored >= min_token && stored <= last, "seed {seed}: {stored} of {min_token} to {last}");
+            let expected = if stored == 0 { 0 } else { 3 };
             assert_eq!(rows.len(), expected, "seed {seed}");
-            assert!(rows.iter().all(|(_, v)| *v == held.to_string()), "seed {seed}: {rows:?} at {held}");
+            assert!(rows.iter().all(|(_, v)| *v == stored.to_string()), "seed {seed}: {rows:?} at {stored}");
             opened += 1;
-            (store, disk, synced) = (again, image, held);
+            (store, disk, synced) = (again, image, stored);
         }
     }
     assert_eq!(opened, 900);
 }
 
 #[test]
-fn a_file_that_is_spoilt_is_told_from_none_and_can_be_set_aside() {
-    let folder = Folder::new("spoilt");
-    drop(Store::create(folder.path(), &durable()).expect("a store"));
+fn corrupt_file_is_detected_and_can_be_quarantined() {
+    let folder = TempFolder::new("corrupt");
+    drop(Store::create(folder.path(), &durable()).expect("create the store"));
     let path = folder.path().join("signals.redb");
-    let good = fs::read(&path).expect("the file");
-    for (what, bytes) in [
-        ("no store at all", b"no store at all".to_vec()),
-        ("its first half", good[..good.len() / 2].to_vec()),
-        ("zeroes", vec![0; good.len()]),
+    let valid = fs::read(&path).expect("read the file");
+    for (description, bytes) in [
+        ("not a store", b"no store at all".to_vec()),
+        ("its first half", valid[..valid.len() / 2].to_vec()),
+        ("zeroes", vec![0; valid.len()]),
     ] {
-        fs::write(&path, bytes).expect("a file");
-        let why = Store::open(folder.path()).err().unwrap_or_else(|| panic!("{what} opens"));
-        assert!(is_corrupt(&why), "{what}: {why:#}");
-        assert!(exists(folder.path()).expect("a look"), "{what}");
+        fs::write(&path, bytes).expect("write the file");
+        let error = Store::open(folder.path()).err().unwrap_or_else(|| panic!("{description} was opened"));
+        assert!(is_corrupt(&error), "{description}: {error:#}");
+        assert!(exists(folder.path()).expect("check for the store file"), "{description}");
     }
-    sloeline_storage::quarantine(folder.path()).expect("a new name");
-    assert!(!exists(folder.path()).expect("a look"));
+    sloeline_storage::quarantine(folder.path()).expect("rename the file");
+    assert!(!exists(folder.path()).expect("check for the store file"));
 }
 
 #[test]
-fn a_file_that_another_process_still_has_is_not_taken_for_a_spoilt_one() {
-    let folder = Folder::new("open");
-    let store = Store::create(folder.path(), &durable()).expect("a store");
-    let why = Store::open(folder.path()).err().expect("it is open");
-    assert!(!is_corrupt(&why), "{why:#}");
+fn file_in_use_is_not_reported_as_corrupt() {
+    let folder = TempFolder::new("open");
+    let store = Store::create(folder.path(), &durable()).expect("create the store");
+    let error = Store::open(folder.path()).err().expect("the store is already open");
+    assert!(!is_corrupt(&error), "{error:#}");
     drop(store);
     assert!(Store::open(folder.path()).is_ok());
 }
