--- a/mesh/config-transfer/src/lib.rs
+++ b/mesh/config-transfer/src/lib.rs
@@ -1,13 +1,15 @@
-//! Configurations on their way from one process to another.
+//! Transfer of configurations between processes.
 //!
-//! A configuration grows with the system and changes often, while the links that carry it stay as they are. So it is never part
-//! of a message that must arrive whole within a time limit: its holder offers a version number, and whoever lacks it asks
-//! for [`Piece`]s of a [`Transfer`], one after the other, from one holder at a time. What has arrived is kept: after a lost
-//! piece the asker goes on where it stopped, also with another holder.
+//! A configuration grows with the system and changes often, while the capacity of the links that carry it stays the same.
+//! It is therefore never part of a message that must arrive whole within a time limit. Instead a holder offers a version
+//! number, and a process that lacks this version requests the [`Piece`]s of a [`Transfer`] one after the other, from one
+//! holder at a time. Received pieces are kept: after a lost piece the requester resumes at the same offset, also with
+//! another holder.
 //!
-//! A transfer carries the configuration packed, as the difference to one that the asker has where the holder still knows that.
+//! A transfer carries the configuration compressed. If the holder still has the version that the requester has, it sends
+//! the difference to that version.
 //!
-//! [`Source`] is the holder's part, [`Fetch`] the asker's. Both are without I/O and without a clock.
+//! [`Source`] implements the holder and [`Fetcher`] the requester. Neither does I/O or reads a clock.
 
 pub mod encoding;
 pub mod fetch;
@@ -15,6 +17,6 @@
 pub mod metrics;
 pub mod source;
 
-pub use fetch::{Fetch, Progress};
-pub use message::{Base, Config, Piece, PieceAnswer, PieceRequest, Transfer};
+pub use fetch::{Fetcher, Progress};
+pub use message::{Config, ConfigId, Piece, PieceAnswer, PieceRequest, Transfer};
 pub use source::Source;
--- a/mesh/control-plane/src/core.rs
+++ b/mesh/control-plane/src/core.rs
@@ -337,7 +337,7 @@
             newer.then(|| CoreList { round: view.number.round, machines: machines() })
         });
         if let Some(list) = list {
-            self.exchange.take_core(list);
+            self.exchange.apply_core_list(list);
         }
     }
 
@@ -369,7 +369,7 @@
         let config: Option<Config> = self.node.borrow().state_machine().config().cloned();
         if let Some(config) = config {
             info!(target: "chain", "Configuration {:08x} is in force.", config.edition);
-            self.exchange.take_config(config);
+            self.exchange.apply_config(config);
         }
     }
 }
--- a/mesh/control-plane/src/links.rs
+++ b/mesh/control-plane/src/links.rs
@@ -44,7 +44,7 @@
     pub fn heard(&self, from: SocketAddr) {
         if let Some(connection) = self.connections.borrow_mut().get_mut(&from) {
             connection.heard = Instant::now();
-            connection.link.peer_is_there();
+            connection.link.peer_reachable();
         }
     }
 
@@ -54,7 +54,7 @@
         connections.retain(|address, _| known.contains(address));
         for connection in connections.values() {
             let old = |up: Instant| up.elapsed() > RECONNECT;
-            if connection.heard.elapsed() > RECONNECT && connection.link.up().is_some_and(old) {
+            if connection.heard.elapsed() > RECONNECT && connection.link.connected_since().is_some_and(old) {
                 connection.link.reset();
             }
         }
--- a/mesh/rpc/src/exchange.rs
+++ b/mesh/rpc/src/exchange.rs
@@ -1,4 +1,5 @@
-//! What a process knows of all others, how it follows a few of them, and what it answers those that follow it.
+//! Exchange of discovery records and configurations between processes: the local view, how it is kept up to date by pulling
+//! from a few peers, and how pulls of other processes are answered.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -6,7 +7,7 @@
 use std::time::Duration;
 
 use log::warn;
-use sloeline_config_transfer::{Fetch, PieceAnswer, PieceRequest, Progress, Source};
+use sloeline_config_transfer::{Fetcher, PieceAnswer, PieceRequest, Progress, Source};
 use sloeline_discovery::{Config, CoreList, MeshState, Pull, PullResponse, Record, Version};
 use tokio::sync::watch;
 use tokio::task::{AbortHandle, spawn_local};
@@ -17,149 +18,160 @@
 use crate::offers::Offers;
 use crate::{RpcRequest, RpcResponse};
 
-/// Longest that a pull is held for want of news, whatever it asks.
-const MOST_HOLD: Duration = Duration::from_secs(10);
-/// An answer may come so much later than the hold ends.
-const LATE: Duration = Duration::from_millis(2000);
-/// Pause after a pull that failed.
-const PAUSE: Duration = Duration::from_millis(200);
-/// Pause after a pull from a machine of the core that is out of contact: it has waited a moment itself.
-const OUT_OF_CONTACT: Duration = Duration::from_millis(50);
-/// How long a piece of a configuration may take. One that does not come costs the piece, not what has arrived before.
-const PIECE_WITHIN: Duration = Duration::from_millis(1000);
-
-/// What is known here.
+/// Maximum time for which a pull without updates is held, whatever its sender requests.
+const MAX_HOLD: Duration = Duration::from_secs(10);
+/// How long a caller waits for a response beyond the requested hold.
+const RESPONSE_GRACE: Duration = Duration::from_millis(2000);
+/// Pause after a failed pull.
+const FAILED_PULL_PAUSE: Duration = Duration::from_millis(200);
+/// Pause after a pull that was answered by a core machine out of contact with a majority. It is short because the machine
+/// has already waited for contact itself.
+const OUT_OF_CONTACT_PAUSE: Duration = Duration::from_millis(50);
+/// Maximum time for the response with one piece of a configuration. After a timeout only this piece is requested again; the
+/// pieces received before are kept.
+const PIECE_TIMEOUT: Duration = Duration::from_millis(1000);
+
+/// The local view of records, configuration and core list, and its synchronization with peers.
 pub struct Exchange {
-    board: RefCell<MeshState>,
-    own: RefCell<Record>,
-    /// Configurations as they are handed on.
+    /// The local view.
+    mesh_state: RefCell<MeshState>,
+    /// The record of this process.
+    local_record: RefCell<Record>,
+    /// Answers the piece requests of other processes.
     source: RefCell<Source>,
-    /// A configuration as it arrives.
-    fetch: RefCell<Fetch>,
+    /// Fetches newer configurations from peers.
+    fetcher: RefCell<Fetcher>,
+    /// The peers that offer a newer configuration.
     offers: RefCell<Offers>,
-    /// A task fetches what is offered.
+    /// Whether a task is running that fetches offered configurations.
     fetching: Cell<bool>,
-    /// Counts up with everything that is new here.
-    changed: watch::Sender<u64>,
-    /// Counts up with every change of the own record.
-    announced: watch::Sender<u64>,
+    /// Incremented with each change of the view.
+    view_changes: watch::Sender<u64>,
+    /// Incremented with each change of the local record.
+    local_changes: watch::Sender<u64>,
 }
 
 impl Exchange {
-    /// Nothing is known but the own record.
-    pub fn new(own: Record) -> Rc<Exchange> {
-        let mut board = MeshState::default();
-        board.merge(vec![own.clone()]);
+    /// Creates an exchange whose view contains only the record of this process.
+    pub fn new(local_record: Record) -> Rc<Exchange> {
+        let mut mesh_state = MeshState::default();
+        mesh_state.merge(vec![local_record.clone()]);
         Rc::new(Exchange {
-            board: RefCell::new(board),
-            own: RefCell::new(own),
+            mesh_state: RefCell::new(mesh_state),
+            local_record: RefCell::new(local_record),
             source: RefCell::default(),
-            fetch: RefCell::default(),
+            fetcher: RefCell::default(),
             offers: RefCell::default(),
             fetching: Cell::new(false),
-            changed: watch::Sender::new(0),
-            announced: watch::Sender::new(0),
+            view_changes: watch::Sender::new(0),
+            local_changes: watch::Sender::new(0),
         })
     }
 
-    /// Tells of every change.
+    /// Subscribes to changes of the view.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
-        self.changed.subscribe()
+        self.view_changes.subscribe()
     }
 
-    /// What is known.
+    /// Borrows the local view of records, configuration and core list.
     pub fn view(&self) -> std::cell::Ref<'_, MeshState> {
-        self.board.borrow()
+        self.mesh_state.borrow()
     }
 
-    /// The own record.
+    /// Returns the record of this process.
     pub fn local_record(&self) -> Record {
-        self.own.borrow().clone()
+        self.local_record.borrow().clone()
     }
 
-    /// Changes the own record and tells those that are followed.
+    /// Changes the record of this process and sends it to the peers that this process follows. If `change` leaves the record
+    /// as it is, nothing is sent.
     pub fn update_local_record(&self, change: impl FnOnce(&mut Record)) {
         let record = {
-            let mut own = self.own.borrow_mut();
-            let before = own.clone();
-            change(&mut own);
-            if *own == before {
+            let mut local = self.local_record.borrow_mut();
+            let before = local.clone();
+            change(&mut local);
+            if *local == before {
                 return;
             }
-            own.version.revision += 1;
-            own.clone()
+            local.version.revision += 1;
+            local.clone()
         };
-        self.take(vec![record]);
-        self.announced.send_modify(|n| *n += 1);
+        self.merge_records(vec![record]);
+        self.local_changes.send_modify(|n| *n += 1);
     }
 
-    fn take(&self, records: Vec<Record>) {
-        // Somebody knows a later life of this process than it does itself: its clock was set back.
-        let me = self.own.borrow().source.clone();
-        let later = records.iter().filter(|r| r.source == me).map(|r| r.version.incarnation).max();
-        if later.is_some_and(|life| life > self.own.borrow().version.incarnation) {
-            let own = {
-                let mut own = self.own.borrow_mut();
-                own.version = Version { incarnation: later.unwrap_or(0) + 1, revision: 1 };
-                own.clone()
+    /// Merges records into the view. A received record of this process is ignored, unless it has a higher incarnation.
+    fn merge_records(&self, records: Vec<Record>) {
+        // A peer knows a higher incarnation of this process than its own: the clock was set back before the start. The local
+        // record takes the next incarnation, so that it replaces the old record everywhere.
+        let me = self.local_record.borrow().source.clone();
+        let highest = records.iter().filter(|r| r.source == me).map(|r| r.version.incarnation).max();
+        if highest.is_some_and(|incarnation| incarnation > self.local_record.borrow().version.incarnation) {
+            let local = {
+                let mut local = self.local_record.borrow_mut();
+                local.version = Version { incarnation: highest.unwrap_or(0) + 1, revision: 1 };
+                local.clone()
             };
-            self.board.borrow_mut().merge(vec![own]);
-            self.announced.send_modify(|n| *n += 1);
+            self.mesh_state.borrow_mut().merge(vec![local]);
+            self.local_changes.send_modify(|n| *n += 1);
         }
-        let others = records.into_iter().filter(|r| r.source != me || *r == *self.own.borrow());
-        let changed = self.board.borrow_mut().merge(others.collect());
+        let accepted = records.into_iter().filter(|r| r.source != me || *r == *self.local_record.borrow());
+        let changed = self.mesh_state.borrow_mut().merge(accepted.collect());
         if !changed.is_empty() {
-            self.changed.send_modify(|n| *n += 1);
+            self.view_changes.send_modify(|n| *n += 1);
         }
     }
 
-    /// Takes a configuration that is in force.
-    pub fn take_config(&self, config: Config) {
+    /// Adds a committed configuration to the view, unless the view has one that is at least as new.
+    pub fn apply_config(&self, config: Config) {
         let version = config.edition;
-        if self.board.borrow_mut().update_config(config) {
+        if self.mesh_state.borrow_mut().update_config(config) {
             metrics::CONFIGURATION_VERSION.set(version.into());
-            if let Some(config) = self.board.borrow().config() {
-                self.source.borrow_mut().hold(config.clone());
-                self.fetch.borrow_mut().held(config);
+            if let Some(config) = self.mesh_state.borrow().config() {
+                self.source.borrow_mut().add(config.clone());
+                self.fetcher.borrow_mut().set_held(config);
             }
-            self.changed.send_modify(|n| *n += 1);
+            self.view_changes.send_modify(|n| *n += 1);
         }
     }
 
-    /// Takes a list of the core machines that serve.
-    pub fn take_core(&self, core: CoreList) {
-        if self.board.borrow_mut().update_core_list(core) {
-            self.changed.send_modify(|n| *n += 1);
+    /// Adds a list of the active core machines to the view, unless the view has one that is at least as new.
+    pub fn apply_core_list(&self, core: CoreList) {
+        if self.mesh_state.borrow_mut().update_core_list(core) {
+            self.view_changes.send_modify(|n| *n += 1);
         }
     }
 
-    /// Asks for what is lacking here.
-    fn pull_for(&self, told: Vec<Record>, hold: Duration, offered: Option<u32>) -> Pull {
-        let board = self.board.borrow();
+    /// Builds a pull for everything that the view lacks. `pushed` are records sent along, and `offered` is the highest
+    /// configuration version that the peer has already offered.
+    fn pull_request(&self, pushed: Vec<Record>, hold: Duration, offered: Option<u32>) -> Pull {
+        let mesh_state = self.mesh_state.borrow();
         Pull {
-            source: self.own.borrow().source.clone(),
-            vector: board.vector(),
-            config_version: board.config().map(|config| config.edition),
+            source: self.local_record.borrow().source.clone(),
+            vector: mesh_state.vector(),
+            config_version: mesh_state.config().map(|config| config.edition),
             offered_version: offered,
-            core_round: board.core_list().map(|core| core.round),
-            pushed_records: told,
+            core_round: mesh_state.core_list().map(|core| core.round),
+            pushed_records: pushed,
             max_hold_ms: hold.as_millis() as u64,
         }
     }
 
-    fn take_news(self: &Rc<Self>, news: PullResponse, from: &Rc<Link>) {
-        if let Some(version) = news.offered_version {
-            self.take_offer(version, from);
+    /// Merges the answer to a pull into the view.
+    fn apply_updates(self: &Rc<Self>, response: PullResponse, from: &Rc<Link>) {
+        if let Some(version) = response.offered_version {
+            self.handle_offer(version, from);
         }
-        if let Some(core) = news.core_list {
-            self.take_core(core);
+        if let Some(core) = response.core_list {
+            self.apply_core_list(core);
         }
-        self.take(news.records);
+        self.merge_records(response.records);
     }
 
-    /// Somebody has a newer configuration. Core machines get theirs through the chain.
-    fn take_offer(self: &Rc<Self>, version: u32, from: &Rc<Link>) {
-        if self.own.borrow().is_core {
+    /// Records that a peer offers a configuration version, and starts to fetch it. Core machines ignore offers, because they
+    /// receive configurations through the chain.
+    fn handle_offer(self: &Rc<Self>, version: u32, from: &Rc<Link>) {
+        if self.local_record.borrow().is_core {
             return;
         }
         self.offers.borrow_mut().add(from, version);
@@ -168,191 +180,214 @@
         }
     }
 
-    /// Fetches what is offered, piece by piece and from one process at a time, until nothing newer is.
+    /// Fetches offered configurations piece by piece, from one peer at a time, until no offer is newer than the view.
     async fn fetch_offered(self: Rc<Self>) {
         loop {
-            let held = self.board.borrow().config().map(|config| config.edition);
+            let held = self.mesh_state.borrow().config().map(|config| config.edition);
             let best = self.offers.borrow_mut().best(held);
             let Some(link) = best else { break };
-            let request = self.fetch.borrow().request();
-            match link.call(&RpcRequest::ConfigPiece(request), PIECE_WITHIN).await {
-                Ok(RpcResponse::ConfigPiece(answer)) => self.take_piece(answer, &link),
+            let request = self.fetcher.borrow().next_request();
+            match link.call(&RpcRequest::ConfigPiece(request), PIECE_TIMEOUT).await {
+                Ok(RpcResponse::ConfigPiece(answer)) => self.handle_piece(answer, &link),
                 _ => {
-                    self.fetch.borrow_mut().lost();
+                    self.fetcher.borrow_mut().handle_loss();
                     self.offers.borrow_mut().defer(&link);
-                    sleep(PAUSE).await;
+                    sleep(FAILED_PULL_PAUSE).await;
                 }
             }
         }
         self.fetching.set(false);
     }
 
-    fn take_piece(&self, answer: PieceAnswer, from: &Rc<Link>) {
-        let progress = self.fetch.borrow_mut().answered(answer);
+    /// Handles the answer to a piece request.
+    fn handle_piece(&self, answer: PieceAnswer, from: &Rc<Link>) {
+        let progress = self.fetcher.borrow_mut().handle_answer(answer);
         match progress {
-            Ok(Progress::More) => {}
-            Ok(Progress::Complete(config)) => self.take_config(config),
+            Ok(Progress::Incomplete) => {}
+            Ok(Progress::Complete(config)) => self.apply_config(config),
             Ok(Progress::NothingNewer) => self.offers.borrow_mut().withdraw(from),
-            Err(why) => {
-                warn!(target: "config", "Not taken from {}: {why:#}.", from.address());
+            Err(error) => {
+                warn!(target: "config", "A piece from {} was refused: {error:#}.", from.address());
                 self.offers.borrow_mut().defer(from);
             }
         }
     }
 
-    /// The next piece of a configuration for somebody who lacks it. Whatever is held here was committed, and nobody takes a
-    /// version below its own: a process out of contact may hand on what it has.
+    /// Answers a request for a piece of a configuration. A process that is out of contact with a majority may answer too:
+    /// every configuration in the view was committed, and no process replaces its configuration with an older one.
     pub fn config_piece(&self, request: &PieceRequest) -> PieceAnswer {
         self.source.borrow_mut().answer(request)
     }
 
-    /// Forgets sources.
-    pub fn forget(&self, gone: impl Fn(&Record) -> bool) {
-        self.board.borrow_mut().remove_where(gone);
+    /// Removes all records for which `is_gone` returns true from the view.
+    pub fn remove_records(&self, is_gone: impl Fn(&Record) -> bool) {
+        self.mesh_state.borrow_mut().remove_where(is_gone);
     }
 
-    /// Takes what somebody tells of itself.
+    /// Merges records that another process has pushed into the view.
     pub fn apply_records(&self, records: Vec<Record>) {
-        self.take(records);
+        self.merge_records(records);
     }
 
-    /// Answers a pull as soon as there is news for it.
+    /// Answers a pull as soon as there are updates for its sender, at the latest when its hold ends.
     pub async fn answer_pull(&self, mut pull: Pull) -> PullResponse {
-        self.take(std::mem::take(&mut pull.pushed_records));
-        let until = Instant::now() + Duration::from_millis(pull.max_hold_ms).min(MOST_HOLD);
-        let mut changed = self.changed.subscribe();
+        self.merge_records(std::mem::take(&mut pull.pushed_records));
+        let deadline = Instant::now() + Duration::from_millis(pull.max_hold_ms).min(MAX_HOLD);
+        let mut changes = self.view_changes.subscribe();
         loop {
-            changed.mark_unchanged();
-            let news = self.board.borrow().response_to(&pull);
-            if !news.is_empty() || Instant::now() >= until {
-                return news;
+            changes.mark_unchanged();
+            let response = self.mesh_state.borrow().response_to(&pull);
+            if !response.is_empty() || Instant::now() >= deadline {
+                return response;
             }
             tokio::select! {
-                _ = changed.changed() => {}
-                () = sleep_until(until) => {}
+                _ = changes.changed() => {}
+                () = sleep_until(deadline) => {}
             }
         }
     }
 
-    /// Tells whether the same is known here.
+    /// Answers whether the view has the given digest: with [`RpcResponse::Done`] if so, else with
+    /// [`RpcResponse::Unavailable`].
     pub fn compare_digest(&self, digest: u64) -> RpcResponse {
-        match self.board.borrow().digest() == digest {
+        match self.mesh_state.borrow().digest() == digest {
             true => RpcResponse::Done,
-            false => RpcResponse::Unavailable("something else is known here".to_owned()),
+            false => RpcResponse::Unavailable("the digests differ".to_owned()),
         }
     }
 
-    /// Looks at one process again and again, and pulls from it only where it knows something else. For a second source:
-    /// most of what it knows has come from the first.
-    pub fn poll(self: &Rc<Self>, address: SocketAddr, every: Duration) -> PeerSync {
-        let reached = Rc::new(Cell::new(None));
-        let task = spawn_local(self.clone().look(address, every, reached.clone())).abort_handle();
-        PeerSync { task, reached, hold: None }
+    /// Compares digests with a peer at a fixed interval, and pulls from it only if they differ. Meant for every peer but the
+    /// first: most of what these peers know has already been received from the first.
+    pub fn poll(self: &Rc<Self>, address: SocketAddr, interval: Duration) -> PeerSync {
+        let last_contact = Rc::new(Cell::new(None));
+        let task =
+            spawn_local(self.clone().poll_peer(address, interval, last_contact.clone())).abort_handle();
+        PeerSync { task, last_contact, hold: None }
     }
 
-    async fn look(self: Rc<Self>, address: SocketAddr, every: Duration, reached: Rc<Cell<Option<Instant>>>) {
+    /// The task of [`Exchange::poll`]; never returns.
+    async fn poll_peer(
+        self: Rc<Self>,
+        address: SocketAddr,
+        interval: Duration,
+        last_contact: Rc<Cell<Option<Instant>>>,
+    ) {
         let link = Link::new(address);
         let mut first = true;
         let mut offered = None;
         loop {
-            let digest = self.board.borrow().digest();
+            let digest = self.mesh_state.borrow().digest();
             let same = !first
                 && matches!(
-                    link.call(&RpcRequest::CompareDigest { digest }, LATE).await,
+                    link.call(&RpcRequest::CompareDigest { digest }, RESPONSE_GRACE).await,
                     Ok(RpcResponse::Done)
                 );
             if same {
-                reached.set(Some(Instant::now()));
+                last_contact.set(Some(Instant::now()));
             } else {
                 first = false;
-                let pull = self.pull_for(vec![self.local_record()], Duration::ZERO, offered);
-                let answer = link.call(&RpcRequest::Pull(pull), LATE).await;
+                let pull = self.pull_request(vec![self.local_record()], Duration::ZERO, offered);
+                let answer = link.call(&RpcRequest::Pull(pull), RESPONSE_GRACE).await;
                 count_pull(&answer);
-                if let Ok(RpcResponse::Updates(news)) = answer {
-                    reached.set((!news.out_of_contact).then(Instant::now));
-                    offered = offered.max(news.offered_version);
-                    self.take_news(news, &link);
+                if let Ok(RpcResponse::Updates(response)) = answer {
+                    last_contact.set((!response.out_of_contact).then(Instant::now));
+                    offered = offered.max(response.offered_version);
+                    self.apply_updates(response, &link);
                 }
             }
-            // Until it has told something once it is asked more often: whoever has just started waits for it.
-            sleep(if reached.get().is_some() { every } else { every.min(PAUSE / 2) }).await;
+            // Until the peer has answered once, it is polled more often, because a process that has just started waits for the
+            // first answer.
+            sleep(if last_contact.get().is_some() { interval } else { interval.min(FAILED_PULL_PAUSE / 2) })
+                .await;
         }
     }
 
-    /// Pulls from one process for good.
+    /// Pulls from a peer continuously. The peer holds each pull for up to `hold` until it has updates.
     pub fn follow(self: &Rc<Self>, address: SocketAddr, hold: Duration) -> PeerSync {
-        let reached = Rc::new(Cell::new(None));
-        let task = spawn_local(self.clone().pull(address, hold, reached.clone())).abort_handle();
-        PeerSync { task, reached, hold: Some(hold) }
+        let last_contact = Rc::new(Cell::new(None));
+        let task = spawn_local(self.clone().follow_peer(address, hold, last_contact.clone())).abort_handle();
+        PeerSync { task, last_contact, hold: Some(hold) }
     }
 
-    async fn pull(self: Rc<Self>, address: SocketAddr, hold: Duration, reached: Rc<Cell<Option<Instant>>>) {
+    /// The task of [`Exchange::follow`]; never returns.
+    async fn follow_peer(
+        self: Rc<Self>,
+        address: SocketAddr,
+        hold: Duration,
+        last_contact: Rc<Cell<Option<Instant>>>,
+    ) {
         let link = Link::new(address);
-        let mut theirs: Option<Version> = None;
+        // The version of the local record that the peer has confirmed.
+        let mut confirmed: Option<Version> = None;
         let mut offered = None;
-        let mut announced = self.announced.subscribe();
-        // The first answer comes at once: whoever has just started waits for it.
-        let mut patience = Duration::ZERO;
+        let mut local_changes = self.local_changes.subscribe();
+        // The first pull is not held, because a process that has just started waits for its answer.
+        let mut next_hold = Duration::ZERO;
         loop {
-            announced.mark_unchanged();
-            let own = self.local_record();
-            let told = if theirs == Some(own.version) { Vec::new() } else { vec![own.clone()] };
-            let ask = RpcRequest::Pull(self.pull_for(told, patience, offered));
-            let mut asking = std::pin::pin!(link.call(&ask, patience + LATE));
+            local_changes.mark_unchanged();
+            let local = self.local_record();
+            let pushed = if confirmed == Some(local.version) { Vec::new() } else { vec![local.clone()] };
+            let request = RpcRequest::Pull(self.pull_request(pushed, next_hold, offered));
+            let mut call = std::pin::pin!(link.call(&request, next_hold + RESPONSE_GRACE));
             let answer = loop {
                 tokio::select! {
-                    answer = &mut asking => break answer,
-                    // News of this process is not to wait for theirs.
-                    _ = announced.changed() => link.notify(&RpcRequest::PushRecords(vec![self.local_record()])),
+                    answer = &mut call => break answer,
+                    // A change of the local record is sent at once instead of with the next pull.
+                    _ = local_changes.changed() => link.notify(&RpcRequest::PushRecords(vec![self.local_record()])),
                 }
             };
             count_pull(&answer);
             match answer {
-                Ok(RpcResponse::Updates(news)) => {
-                    let out_of_contact = news.out_of_contact;
-                    reached.set((!out_of_contact).then(Instant::now));
-                    theirs = news.requester_version;
-                    offered = offered.max(news.offered_version);
-                    patience = if out_of_contact { Duration::ZERO } else { hold };
-                    self.take_news(news, &link);
+                Ok(RpcResponse::Updates(response)) => {
+                    let out_of_contact = response.out_of_contact;
+                    last_contact.set((!out_of_contact).then(Instant::now));
+                    confirmed = response.requester_version;
+                    offered = offered.max(response.offered_version);
+                    next_hold = if out_of_contact { Duration::ZERO } else { hold };
+                    self.apply_updates(response, &link);
                     if out_of_contact {
-                        sleep(OUT_OF_CONTACT).await;
+                        sleep(OUT_OF_CONTACT_PAUSE).await;
                     }
                 }
                 _ => {
-                    theirs = None;
-                    patience = Duration::ZERO;
-                    sleep(PAUSE).await;
+                    confirmed = None;
+                    next_hold = Duration::ZERO;
+                    sleep(FAILED_PULL_PAUSE).await;
                 }
             }
         }
     }
 }
 
+/// Counts the result of a pull in the metrics.
 fn count_pull(answer: &anyhow::Result<RpcResponse>) {
     match answer {
-        Ok(RpcResponse::Updates(news)) if news.out_of_contact => metrics::PULLS_OUT_OF_CONTACT.increment(),
+        Ok(RpcResponse::Updates(response)) if response.out_of_contact => {
+            metrics::PULLS_OUT_OF_CONTACT.increment()
+        }
         Ok(RpcResponse::Updates(_)) => metrics::PULLS_ANSWERED.increment(),
         _ => metrics::PULLS_FAILED.increment(),
     }
 }
 
-/// A process that is followed; dropped, it is not.
+/// The synchronization with one peer. It ends when this value is dropped.
 pub struct PeerSync {
     task: AbortHandle,
-    reached: Rc<Cell<Option<Instant>>>,
+    /// When the peer last answered while in contact with a majority.
+    last_contact: Rc<Cell<Option<Instant>>>,
     hold: Option<Duration>,
 }
 
 impl PeerSync {
-    /// How long its pulls are held; nothing where it is only looked at.
+    /// How long the peer holds each pull; `None` if the peer is polled with [`Exchange::poll`].
     pub fn hold(&self) -> Option<Duration> {
         self.hold
     }
 
-    /// When it answered last.
+    /// Time of the peer's last answer; `None` if there was none yet, or if the last pull was answered by a core machine out of
+    /// contact with a majority.
     pub fn last_contact(&self) -> Option<Instant> {
-        self.reached.get()
+        self.last_contact.get()
     }
 }
 
--- a/mesh/rpc/src/frame.rs
+++ b/mesh/rpc/src/frame.rs
@@ -1,57 +1,59 @@
-//! Frames: four bytes of length, one of the format's version, one of the kind, eight of the call's number, and a body.
+//! The frame format: four bytes of length, one byte of protocol version, one byte of frame kind, eight bytes of call number,
+//! and the body. The length counts everything after itself; all integers are big-endian.
 
 use anyhow::{Result, bail};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use serde::{Serialize, de::DeserializeOwned};
 
-/// The version of all messages. A process of another version is not understood and says so.
-pub const VERSION: u8 = 3;
-/// Most bytes of a frame.
-pub const MOST_FRAME: usize = 32 << 20;
-const HEAD: usize = 10;
+/// Protocol version of all messages. A process closes a connection that carries another version.
+pub const PROTOCOL_VERSION: u8 = 3;
+/// Maximum number of bytes in a frame, not counting the length field.
+pub const MAX_FRAME_BYTES: usize = 32 << 20;
+/// Bytes between the length field and the body: version, kind and call number.
+const HEADER_BYTES: usize = 10;
 
-/// What a frame is.
+/// The role of a frame in a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameKind {
-    /// Wants an answer.
+    /// A request; the receiver sends a response with the same call number.
     Request,
-    /// Is the answer.
+    /// The response to a request.
     Response,
-    /// Wants none.
+    /// A one-way message; the receiver sends no response.
     Notification,
 }
 
-/// A frame.
+/// A decoded frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
-    /// What it is.
+    /// The role of the frame in a call.
     pub kind: FrameKind,
-    /// The number of the call.
-    pub number: u64,
-    /// The message.
+    /// Number of the call, chosen by the caller; 0 in a notification.
+    pub call_number: u64,
+    /// The message, encoded as MessagePack.
     pub body: Bytes,
 }
 
-/// The bytes of a frame with a message.
-pub fn encode<T: Serialize>(kind: FrameKind, number: u64, message: &T) -> Result<Bytes> {
+/// Encodes a message as a frame. Fails if the frame would be longer than [`MAX_FRAME_BYTES`].
+pub fn encode<T: Serialize>(kind: FrameKind, call_number: u64, message: &T) -> Result<Bytes> {
     let body = rmp_serde::to_vec(message)?;
-    if body.len() + HEAD > MOST_FRAME {
-        bail!("frame: found {} bytes, expected at most {MOST_FRAME}", body.len());
+    if body.len() + HEADER_BYTES > MAX_FRAME_BYTES {
+        bail!("frame: found {} bytes, expected at most {MAX_FRAME_BYTES}", body.len());
     }
-    let mut bytes = BytesMut::with_capacity(4 + HEAD + body.len());
-    bytes.put_u32((HEAD + body.len()) as u32);
-    bytes.put_u8(VERSION);
+    let mut bytes = BytesMut::with_capacity(4 + HEADER_BYTES + body.len());
+    bytes.put_u32((HEADER_BYTES + body.len()) as u32);
+    bytes.put_u8(PROTOCOL_VERSION);
     bytes.put_u8(match kind {
         FrameKind::Request => 0,
         FrameKind::Response => 1,
         FrameKind::Notification => 2,
     });
-    bytes.put_u64(number);
+    bytes.put_u64(call_number);
     bytes.put_slice(&body);
     Ok(bytes.freeze())
 }
 
-/// The message of a body. All of the body is it.
+/// Decodes the body of a frame as a message. Fails if bytes are left over.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T> {
     let mut rest = body;
     let message = rmp_serde::from_read(&mut rest)?;
@@ -61,29 +63,30 @@
     Ok(message)
 }
 
-/// The next frame of what has come, if it is here whole.
-pub fn next(come: &mut BytesMut) -> Result<Option<Frame>> {
-    let Some(length) = come.get(..4) else { return Ok(None) };
+/// Removes the first frame from the received bytes. `Ok(None)` means that the frame is still incomplete. Fails on another
+/// protocol version, an invalid length or an unknown kind, as soon as these fields have arrived.
+pub fn take_frame(received: &mut BytesMut) -> Result<Option<Frame>> {
+    let Some(length) = received.get(..4) else { return Ok(None) };
     let length = length.iter().fold(0, |all, byte| all << 8 | usize::from(*byte));
-    if !(HEAD..=MOST_FRAME).contains(&length) {
-        bail!("frame: found a length of {length}, expected {HEAD} to {MOST_FRAME}");
+    if !(HEADER_BYTES..=MAX_FRAME_BYTES).contains(&length) {
+        bail!("frame: found a length of {length}, expected {HEADER_BYTES} to {MAX_FRAME_BYTES}");
     }
-    if let Some(version) = come.get(4)
-        && *version != VERSION
+    if let Some(version) = received.get(4)
+        && *version != PROTOCOL_VERSION
     {
-        bail!("frame: found version {version}, expected {VERSION}");
+        bail!("frame: found version {version}, expected {PROTOCOL_VERSION}");
     }
-    if come.len() < 4 + length {
+    if received.len() < 4 + length {
         return Ok(None);
     }
-    come.advance(5);
-    let kind = match come.get_u8() {
+    received.advance(5);
+    let kind = match received.get_u8() {
         0 => FrameKind::Request,
         1 => FrameKind::Response,
         2 => FrameKind::Notification,
         other => bail!("frame: found kind {other}, expected 0 to 2"),
     };
-    let number = come.get_u64();
-    let body = come.split_to(length - HEAD).freeze();
-    Ok(Some(Frame { kind, number, body }))
+    let call_number = received.get_u64();
+    let body = received.split_to(length - HEADER_BYTES).freeze();
+    Ok(Some(Frame { kind, call_number, body }))
 }
--- a/mesh/rpc/src/lib.rs
+++ b/mesh/rpc/src/lib.rs
@@ -1,5 +1,6 @@
-//! Messages between processes of the mesh: MessagePack in frames of a bounded length, many calls at once on one
-//! connection. [`frame`] is without I/O; [`link`] and [`serve`] carry frames over TCP.
+//! Remote procedure calls between mesh processes: MessagePack in frames of limited length, with many concurrent calls on one
+//! connection. [`frame`] defines the format and does no I/O; [`link`] and [`serve`] carry frames over TCP; [`exchange`]
+//! synchronizes discovery records and configurations.
 
 pub mod exchange;
 pub mod frame;
@@ -15,74 +16,75 @@
 use sloeline_discovery::{Pull, PullResponse, Record};
 use sloeline_idempotency::{ClaimOutcome, ClaimUpdate, StoredResponse};
 
-/// What a process asks of another.
+/// A request or notification from one process to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RpcRequest {
-    /// News that the asker lacks.
+    /// Requests the updates that the sender lacks; answered with [`RpcResponse::Updates`].
     Pull(Pull),
-    /// Whether the asked process knows the same as the asker; [`RpcResponse::Done`] where it does.
+    /// Asks whether the receiver's view equals the sender's; answered with [`RpcResponse::Done`] if so.
     #[serde(rename = "Compare")]
     CompareDigest {
-        /// Of the asker's board.
+        /// Digest of the sender's view.
         digest: u64,
     },
-    /// The next piece of a newer configuration.
+    /// Requests the next piece of a newer configuration.
     ConfigPiece(PieceRequest),
-    /// The asker's own news.
+    /// Pushes records to the receiver, usually the sender's own.
     #[serde(rename = "Tell")]
     PushRecords(Vec<Record>),
-    /// Something of a keyed operation; only the core answers.
+    /// Updates the state of a keyed operation; only core machines handle this request.
     Operation(ClaimUpdate),
-    /// What came of a run; only the machine that holds its claim answers.
+    /// Asks for the state of a run. Machines that executed the run or store a copy of its answer can respond.
     #[serde(rename = "Recall")]
     QueryRun {
-        /// The key.
+        /// Key of the operation.
         key: Bytes,
-        /// The run.
+        /// Number of the run.
         run: u64,
     },
-    /// Keeps the answer to a run for its holder; has no answer.
+    /// Stores a copy of a run's answer on the receiver, in case the machine that executed the run loses it. A notification
+    /// without a response.
     #[serde(rename = "Keep")]
     StoreAnswer {
-        /// The key.
+        /// Key of the operation.
         key: Bytes,
-        /// The run.
+        /// Number of the run.
         run: u64,
-        /// Its answer.
+        /// Answer of the run.
         answer: StoredResponse,
     },
-    /// Between core machines; has no answer.
+    /// Carries a message of the chain protocol between core machines. A notification without a response.
     Chain {
-        /// Who sends it.
+        /// Address of the sending core machine.
         from: std::net::SocketAddr,
-        /// What.
+        /// The message of the chain protocol.
         message: Box<Message>,
     },
-    /// How the asked process is, as JSON.
+    /// Requests the status of the receiver for operators; answered with [`RpcResponse::Status`].
     Status,
 }
 
-/// What it is answered.
+/// The response to an [`RpcRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RpcResponse {
-    /// The news.
+    /// The updates that the sender of a pull lacks.
     #[serde(rename = "News")]
     Updates(PullResponse),
-    /// The piece.
+    /// The requested piece of a configuration.
     ConfigPiece(PieceAnswer),
-    /// Done.
+    /// The request was handled, or the compared digests are equal.
     Done,
-    /// What came of the operation.
+    /// The result of a keyed operation.
     Operation(ClaimOutcome),
-    /// The run is at work.
+    /// The run is still being executed.
     #[serde(rename = "Running")]
     RunInProgress,
-    /// It ran, with this answer where it is kept.
+    /// The run has finished. Contains its answer if it is still stored.
     #[serde(rename = "Ran")]
     RunFinished(Option<StoredResponse>),
-    /// JSON.
+    /// The status of the process as JSON.
     Status(Bytes),
-    /// It can't be done here and now; nothing has happened, or it may still happen.
+    /// The request could not be handled, for the given reason. It may have had no effect, or may still take effect.
     #[serde(rename = "Unable")]
     Unavailable(String),
 }
--- a/mesh/rpc/src/link.rs
+++ b/mesh/rpc/src/link.rs
@@ -1,4 +1,4 @@
-//! The calling end: one connection to one process, made when it is needed and made anew when it breaks.
+//! The client side: one connection to one process, opened when it is needed and reopened after it breaks.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -19,190 +19,207 @@
 use crate::metrics;
 use crate::{RpcRequest, RpcResponse};
 
-/// How long a connection may take to come up.
-const CONNECT: Duration = Duration::from_millis(4000);
-/// So long after an attempt another one is begun beside it: the first may have met a machine without power, or its opening
-/// packet may wait in a full link, where a new one would wait behind it. The first that stands is used.
-const CONNECT_BESIDE: Duration = Duration::from_millis(400);
-/// Most attempts beside each other.
-const MOST_ATTEMPTS: usize = 4;
-/// A connection to a peer that is there comes up sooner.
-const CONNECTS_AT_ONCE: Duration = Duration::from_millis(50);
-/// Pause after one that did not.
-const PAUSE: Duration = Duration::from_millis(100);
-/// How long sent bytes may stay without an acknowledgement.
-pub(crate) const UNACKNOWLEDGED: Duration = Duration::from_millis(4000);
-/// Most frames that wait for the connection; those beyond are dropped.
-const MOST_WAITING: usize = 4096;
+/// Maximum time for opening a connection, over all parallel attempts.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(4000);
+/// Interval between parallel connection attempts. The first SYN packet may have been sent to a machine that was powered off,
+/// or it may wait in a congested link, where a new SYN would be queued behind it. The first connection that opens is used.
+const CONNECT_ATTEMPT_INTERVAL: Duration = Duration::from_millis(400);
+/// Maximum number of parallel connection attempts.
+const MAX_CONNECT_ATTEMPTS: usize = 4;
+/// Time within which a connection to a reachable peer normally opens. An older attempt is restarted once the peer is known
+/// to be reachable.
+const PROMPT_CONNECT: Duration = Duration::from_millis(50);
+/// Pause after a connection could not be opened.
+const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
+/// How long sent bytes may stay unacknowledged before the kernel closes the connection.
+pub(crate) const TCP_USER_TIMEOUT: Duration = Duration::from_millis(4000);
+/// Maximum number of frames queued for the connection; further frames are dropped.
+const MAX_QUEUED_FRAMES: usize = 4096;
 
-/// Bytes of frames that wait for the connection; a frame beyond is dropped, but for one that finds the queue empty.
-const MOST_WAITING_BYTES: usize = 8 << 20;
+/// Maximum number of bytes queued for the connection. A frame beyond it is dropped, unless the queue is empty.
+const MAX_QUEUED_BYTES: usize = 8 << 20;
 
-type Waiting = RefCell<HashMap<u64, oneshot::Sender<Bytes>>>;
+/// The calls without a response yet, by call number.
+type PendingCalls = RefCell<HashMap<u64, oneshot::Sender<Bytes>>>;
 
-/// A frame that waits for the connection.
-struct Queued {
-    /// The call that it asks for; nothing for what has no answer.
-    call: Option<u64>,
+/// A frame queued for the connection.
+struct QueuedFrame {
+    /// Number of the call if the frame is a request, `None` if it is a notification.
+    call_number: Option<u64>,
+    /// The encoded frame.
     bytes: Bytes,
 }
 
 /// A connection to one process.
 pub struct Link {
     address: SocketAddr,
-    queue: mpsc::Sender<Queued>,
+    queue: mpsc::Sender<QueuedFrame>,
+    /// Total bytes of the queued frames.
     queued_bytes: Rc<Cell<usize>>,
-    waiting: Rc<Waiting>,
-    number: Cell<u64>,
+    pending_calls: Rc<PendingCalls>,
+    /// Number of the last call.
+    last_call_number: Cell<u64>,
+    /// Notified to close the connection.
     reset: Rc<Notify>,
-    up: Rc<Cell<Option<Instant>>>,
-    /// When something came from the peer.
-    heard: Rc<Cell<Option<Instant>>>,
-    /// Since when a connection has been coming up.
-    connecting: Rc<Cell<Option<Instant>>>,
-    connect_again: Rc<Notify>,
+    /// When the connection was opened; `None` while there is none.
+    connected_since: Rc<Cell<Option<Instant>>>,
+    /// When bytes were last received from the peer.
+    last_received: Rc<Cell<Option<Instant>>>,
+    /// When the latest connection attempt was started; `None` while none is running.
+    connecting_since: Rc<Cell<Option<Instant>>>,
+    /// Notified to abandon all running connection attempts and start a new one.
+    restart_connect: Rc<Notify>,
 }
 
-/// What a socket of the mesh is set to.
-pub(crate) fn tune(stream: &TcpStream) {
+/// Sets the TCP options of a connection between processes.
+pub(crate) fn set_tcp_options(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
-    let _ = SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED));
+    let _ = SockRef::from(stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
 }
 
 impl Link {
-    /// No connection yet.
+    /// Creates a link to `address`. The connection is opened with the first frame.
     pub fn new(address: SocketAddr) -> Rc<Link> {
-        let (queue, frames) = mpsc::channel(MOST_WAITING);
+        let (queue, frames) = mpsc::channel(MAX_QUEUED_FRAMES);
         let link = Rc::new(Link {
             address,
             queue,
             queued_bytes: Rc::default(),
-            waiting: Rc::default(),
-            number: Cell::new(0),
+            pending_calls: Rc::default(),
+            last_call_number: Cell::new(0),
             reset: Rc::new(Notify::new()),
-            up: Rc::default(),
-            heard: Rc::default(),
-            connecting: Rc::default(),
-            connect_again: Rc::new(Notify::new()),
+            connected_since: Rc::default(),
+            last_received: Rc::default(),
+            connecting_since: Rc::default(),
+            restart_connect: Rc::new(Notify::new()),
         });
-        spawn_local(drive(Rc::downgrade(&link), frames));
+        spawn_local(run_link(Rc::downgrade(&link), frames));
         link
     }
 
-    /// Where it goes.
+    /// Address of the peer.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Closes the connection: what was asked on it fails, and the next frame makes a new one.
+    /// Closes the connection. All pending calls fail, and the next frame opens a new connection.
     pub fn reset(&self) {
         self.reset.notify_one();
     }
 
-    /// The peer is known to be there: an attempt to connect that began before it was is given up for another. Its first
-    /// packet may have met a machine without power, and would be sent again only after a second.
-    pub fn peer_is_there(&self) {
-        if self.connecting.get().is_some_and(|since| since.elapsed() > CONNECTS_AT_ONCE) {
-            self.connecting.set(None);
-            self.connect_again.notify_one();
+    /// Reports that the peer is known to be reachable, and restarts a connection attempt that has been running for longer
+    /// than usual. Its SYN packet may have been sent before the peer was up, and the kernel would resend it only after a
+    /// second.
+    pub fn peer_reachable(&self) {
+        if self.connecting_since.get().is_some_and(|since| since.elapsed() > PROMPT_CONNECT) {
+            self.connecting_since.set(None);
+            self.restart_connect.notify_one();
         }
     }
 
-    /// Since when the connection stands.
-    pub fn up(&self) -> Option<Instant> {
-        self.up.get()
+    /// Time at which the connection was opened; `None` while there is none.
+    pub fn connected_since(&self) -> Option<Instant> {
+        self.connected_since.get()
     }
 
-    /// Sends something that has no answer; it may be lost.
+    /// Sends a one-way message, which may be lost.
     pub fn notify(&self, message: &RpcRequest) {
         if let Ok(bytes) = frame::encode(FrameKind::Notification, 0, message) {
-            let _ = self.enqueue(Queued { call: None, bytes });
+            let _ = self.enqueue(QueuedFrame { call_number: None, bytes });
         }
     }
 
-    fn enqueue(&self, frame: Queued) -> Result<()> {
+    /// Queues a frame for the connection. Fails if the queue is full.
+    fn enqueue(&self, frame: QueuedFrame) -> Result<()> {
         let (queued, length) = (self.queued_bytes.get(), frame.bytes.len());
-        let fits = queued == 0 || queued + length <= MOST_WAITING_BYTES;
+        let fits = queued == 0 || queued + length <= MAX_QUEUED_BYTES;
         if !fits || self.queue.try_send(frame).is_err() {
             metrics::DROPPED_FRAMES.increment();
-            bail!("ask {}: too much waits", self.address);
+            bail!("call {}: the send queue is full", self.address);
         }
         self.queued_bytes.set(queued + length);
         Ok(())
     }
 
-    /// Asks, and waits so long for the answer. The connection is closed where nothing at all has come on it meanwhile; a peer
-    /// that answers others is slow, and the calls of others are not to fail with this one. An answer that comes late
-    /// belongs to no call.
-    pub async fn call(&self, message: &RpcRequest, within: Duration) -> Result<RpcResponse> {
-        let asked = Instant::now();
-        let number = self.number.get() + 1;
-        self.number.set(number);
-        let bytes = frame::encode(FrameKind::Request, number, message)?;
-        let (sender, answer) = oneshot::channel();
-        self.waiting.borrow_mut().insert(number, sender);
-        let forget = Forget { waiting: &self.waiting, number };
-        self.enqueue(Queued { call: Some(number), bytes })?;
-        let answered = timeout(within, answer).await;
-        drop(forget);
-        let body = match answered {
-            Ok(body) => body.map_err(|_| anyhow!("ask {}: the connection broke", self.address))?,
+    /// Sends a request and waits up to `timeout_after` for its response. A response that arrives later is ignored.
+    ///
+    /// On a timeout the connection is closed only if nothing at all was received on it during the call. A peer that answers
+    /// other calls is merely slow, and closing the connection would make those calls fail too.
+    pub async fn call(&self, message: &RpcRequest, timeout_after: Duration) -> Result<RpcResponse> {
+        let started = Instant::now();
+        let call_number = self.last_call_number.get() + 1;
+        self.last_call_number.set(call_number);
+        let bytes = frame::encode(FrameKind::Request, call_number, message)?;
+        let (sender, response) = oneshot::channel();
+        self.pending_calls.borrow_mut().insert(call_number, sender);
+        let guard = PendingCallGuard { pending_calls: &self.pending_calls, call_number };
+        self.enqueue(QueuedFrame { call_number: Some(call_number), bytes })?;
+        let result = timeout(timeout_after, response).await;
+        drop(guard);
+        let body = match result {
+            Ok(body) => body.map_err(|_| anyhow!("call {}: the connection was closed", self.address))?,
             Err(_) => {
-                metrics::TIMED_OUT.increment();
-                // One that came up since is another than this call was meant for.
-                let stood = self.up.get().is_some_and(|up| up <= asked);
-                if stood && self.heard.get().is_none_or(|heard| heard < asked) {
+                metrics::TIMED_OUT_CALLS.increment();
+                // A connection opened after the start of this call has not carried its request for the whole time.
+                let connected = self.connected_since.get().is_some_and(|since| since <= started);
+                if connected && self.last_received.get().is_none_or(|received| received < started) {
                     self.reset();
                 }
-                bail!("ask {}: no answer within {} ms", self.address, within.as_millis());
+                bail!("call {}: no response within {} ms", self.address, timeout_after.as_millis());
             }
         };
-        frame::decode(&body).with_context(|| format!("ask {}", self.address))
+        frame::decode(&body).with_context(|| format!("call {}", self.address))
     }
 }
 
-struct Forget<'a> {
-    waiting: &'a Waiting,
-    number: u64,
+/// Removes a call from the pending calls when dropped.
+struct PendingCallGuard<'a> {
+    pending_calls: &'a PendingCalls,
+    call_number: u64,
 }
 
-impl Drop for Forget<'_> {
+impl Drop for PendingCallGuard<'_> {
     fn drop(&mut self) {
-        self.waiting.borrow_mut().remove(&self.number);
+        self.pending_calls.borrow_mut().remove(&self.call_number);
     }
 }
 
-async fn drive(link: Weak<Link>, mut frames: mpsc::Receiver<Queued>) {
+/// Opens a connection whenever a frame is queued and carries frames until it breaks. Returns once the link is dropped.
+async fn run_link(link: Weak<Link>, mut frames: mpsc::Receiver<QueuedFrame>) {
     while let Some(first) = frames.recv().await {
         let Some(strong) = link.upgrade() else { return };
-        let (address, waiting, reset, up) =
-            (strong.address, strong.waiting.clone(), strong.reset.clone(), strong.up.clone());
-        let (connecting, again) = (strong.connecting.clone(), strong.connect_again.clone());
-        let (heard, queued) = (strong.heard.clone(), strong.queued_bytes.clone());
+        let (address, pending_calls, reset, connected_since) = (
+            strong.address,
+            strong.pending_calls.clone(),
+            strong.reset.clone(),
+            strong.connected_since.clone(),
+        );
+        let (connecting_since, restart) = (strong.connecting_since.clone(), strong.restart_connect.clone());
+        let (last_received, queued_bytes) = (strong.last_received.clone(), strong.queued_bytes.clone());
         drop(strong);
-        match connect(address, &connecting, &again).await {
+        match connect(address, &connecting_since, &restart).await {
             Some(stream) => {
-                tune(&stream);
-                up.set(Some(Instant::now()));
-                // What was meant for the connection before.
-                forget_notice(&reset).await;
+                set_tcp_options(&stream);
+                connected_since.set(Some(Instant::now()));
+                // A reset that was requested earlier was meant for the previous connection.
+                discard_notification(&reset).await;
                 tokio::select! {
-                    _ = carry(stream, first, &mut frames, &waiting, &heard, &queued) => {}
+                    _ = run_connection(stream, first, &mut frames, &pending_calls, &last_received, &queued_bytes) => {}
                     () = reset.notified() => {}
                 }
-                up.set(None);
+                connected_since.set(None);
             }
-            _ => sleep(PAUSE).await,
+            _ => sleep(RECONNECT_PAUSE).await,
         }
-        // What waited for it is old; whoever asked is told at once.
+        // Frames queued for the broken connection are outdated. Dropping the senders makes all pending calls fail at once.
         while frames.try_recv().is_ok() {}
-        queued.set(0);
-        waiting.borrow_mut().clear();
+        queued_bytes.set(0);
+        pending_calls.borrow_mut().clear();
     }
 }
 
-/// Forgets a notice that nobody has waited for.
-async fn forget_notice(notify: &Notify) {
+/// Consumes a stored notification, if there is one, without waiting.
+async fn discard_notification(notify: &Notify) {
     tokio::select! {
         biased;
         () = notify.notified() => {}
@@ -210,74 +227,77 @@
     }
 }
 
-/// A connection, if one comes up in time. Attempts are begun beside each other, and one more when the peer is known to be
-/// there.
+/// Opens a connection within [`CONNECT_TIMEOUT`]. Attempts run in parallel, each started some time after the one before; a
+/// notification of `restart` replaces them all with a new attempt.
 async fn connect(
     address: SocketAddr,
-    connecting: &Cell<Option<Instant>>,
-    again: &Notify,
+    connecting_since: &Cell<Option<Instant>>,
+    restart: &Notify,
 ) -> Option<TcpStream> {
-    let until = Instant::now() + CONNECT;
+    let deadline = Instant::now() + CONNECT_TIMEOUT;
     let mut attempts = JoinSet::new();
     let connected = loop {
-        if attempts.len() < MOST_ATTEMPTS {
+        if attempts.len() < MAX_CONNECT_ATTEMPTS {
             attempts.spawn_local(TcpStream::connect(address));
         }
-        connecting.set(Some(Instant::now()));
-        let next = (Instant::now() + CONNECT_BESIDE).min(until);
+        connecting_since.set(Some(Instant::now()));
+        let next = (Instant::now() + CONNECT_ATTEMPT_INTERVAL).min(deadline);
         tokio::select! {
             Some(connected) = attempts.join_next() => break connected.ok().and_then(Result::ok),
-            // What was sent before the peer was there is sent again only after a second.
-            () = again.notified() => attempts = JoinSet::new(),
-            () = sleep_until(next) => if next == until { break None },
+            // The kernel would resend a SYN packet that was sent before the peer was up only after a second.
+            () = restart.notified() => attempts = JoinSet::new(),
+            () = sleep_until(next) => if next == deadline { break None },
         }
     };
-    connecting.set(None);
+    connecting_since.set(None);
     connected
 }
 
-async fn carry(
+/// Writes queued frames to a connection and passes responses to their calls, until the connection breaks.
+async fn run_connection(
     stream: TcpStream,
-    first: Queued,
-    frames: &mut mpsc::Receiver<Queued>,
-    waiting: &Waiting,
-    heard: &Cell<Option<Instant>>,
-    queued: &Cell<usize>,
+    first: QueuedFrame,
+    frames: &mut mpsc::Receiver<QueuedFrame>,
+    pending_calls: &PendingCalls,
+    last_received: &Cell<Option<Instant>>,
+    queued_bytes: &Cell<usize>,
 ) -> Result<()> {
     let (mut from, mut to) = stream.into_split();
     let write = async {
-        let mut some = vec![first];
+        let mut batch = vec![first];
         loop {
-            let taken: usize = some.iter().map(|frame| frame.bytes.len()).sum();
-            // A call that nobody waits for any more must not be made: what it asks for may have been taken back since.
-            some.retain(|frame| frame.call.is_none_or(|call| waiting.borrow().contains_key(&call)));
-            let parts: Vec<Bytes> = some.drain(..).map(|frame| frame.bytes).collect();
+            let batch_bytes: usize = batch.iter().map(|frame| frame.bytes.len()).sum();
+            // A call that has timed out must not be sent: the caller may have undone its effect since.
+            batch.retain(|frame| {
+                frame.call_number.is_none_or(|number| pending_calls.borrow().contains_key(&number))
+            });
+            let parts: Vec<Bytes> = batch.drain(..).map(|frame| frame.bytes).collect();
             metrics::SENT_BYTES.add(parts.iter().map(|part| part.len() as u64).sum());
             match parts.as_slice() {
                 [one] => to.write_all(one).await?,
                 many => to.write_all(&many.concat()).await?,
             }
-            queued.set(queued.get().saturating_sub(taken));
-            if frames.recv_many(&mut some, 64).await == 0 {
+            queued_bytes.set(queued_bytes.get().saturating_sub(batch_bytes));
+            if frames.recv_many(&mut batch, 64).await == 0 {
                 break;
             }
         }
         Ok::<_, anyhow::Error>(())
     };
     let read = async {
-        let mut come = BytesMut::new();
+        let mut received = BytesMut::new();
         loop {
-            while let Some(frame) = frame::next(&mut come)? {
-                let waits = waiting.borrow_mut().remove(&frame.number);
-                if let Some(waits) = waits.filter(|_| frame.kind == FrameKind::Response) {
-                    let _ = waits.send(frame.body);
+            while let Some(frame) = frame::take_frame(&mut received)? {
+                let caller = pending_calls.borrow_mut().remove(&frame.call_number);
+                if let Some(caller) = caller.filter(|_| frame.kind == FrameKind::Response) {
+                    let _ = caller.send(frame.body);
                 }
             }
-            let bytes = from.read_buf(&mut come).await?;
+            let bytes = from.read_buf(&mut received).await?;
             if bytes == 0 {
                 bail!("closed");
             }
-            heard.set(Some(Instant::now()));
+            last_received.set(Some(Instant::now()));
             metrics::RECEIVED_BYTES.add(bytes as u64);
         }
     };
--- a/mesh/rpc/src/serve.rs
+++ b/mesh/rpc/src/serve.rs
@@ -1,4 +1,4 @@
-//! The called end: takes connections of other processes and answers what they ask.
+//! The server side: accepts connections of other processes and answers their requests.
 
 use std::future::Future;
 use std::rc::Rc;
@@ -12,65 +12,69 @@
 use tokio::time::sleep;
 
 use crate::frame::{self, FrameKind};
-use crate::link::tune;
+use crate::link::set_tcp_options;
 use crate::metrics;
 use crate::{RpcRequest, RpcResponse};
 
-/// Answers that wait for a peer that does not read; beyond, its connection is closed.
-const MOST_ANSWERS: usize = 1024;
-const PAUSE: Duration = Duration::from_millis(20);
+/// Maximum number of responses queued for a peer that does not read them; further responses are dropped.
+const MAX_QUEUED_RESPONSES: usize = 1024;
+/// Pause after a connection could not be accepted.
+const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(20);
 
-/// Takes connections for good. `answer` gives nothing for what has no answer.
-pub async fn serve<A, F>(listener: TcpListener, answer: A)
+/// Accepts connections forever and passes their messages to `handler`, which returns `None` for messages without a response.
+pub async fn serve<A, F>(listener: TcpListener, handler: A)
 where
     A: Fn(RpcRequest) -> F + 'static,
     F: Future<Output = Option<RpcResponse>> + 'static,
 {
-    let answer = Rc::new(answer);
+    let handler = Rc::new(handler);
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tune(&stream);
-                spawn_local(connection(stream, answer.clone()));
+                set_tcp_options(&stream);
+                spawn_local(serve_connection(stream, handler.clone()));
             }
-            Err(_) => sleep(PAUSE).await,
+            Err(_) => sleep(ACCEPT_ERROR_PAUSE).await,
         }
     }
 }
 
-async fn connection<A, F>(stream: TcpStream, answer: Rc<A>)
+/// Reads requests from a connection, handles them concurrently and writes their responses, until the connection breaks or
+/// carries something that is not a valid message.
+async fn serve_connection<A, F>(stream: TcpStream, handler: Rc<A>)
 where
     A: Fn(RpcRequest) -> F + 'static,
     F: Future<Output = Option<RpcResponse>> + 'static,
 {
     let (mut from, mut to) = stream.into_split();
-    let (sender, mut answers) = mpsc::channel::<Bytes>(MOST_ANSWERS);
+    let (sender, mut responses) = mpsc::channel::<Bytes>(MAX_QUEUED_RESPONSES);
     let write = async move {
-        let mut some = Vec::new();
-        while answers.recv_many(&mut some, 64).await > 0 {
-            metrics::SERVED_BYTES.add(some.iter().map(|answer| answer.len() as u64).sum());
-            if to.write_all(&some.concat()).await.is_err() {
+        let mut batch = Vec::new();
+        while responses.recv_many(&mut batch, 64).await > 0 {
+            metrics::SERVED_BYTES.add(batch.iter().map(|response| response.len() as u64).sum());
+            if to.write_all(&batch.concat()).await.is_err() {
                 return;
             }
-            some.clear();
+            batch.clear();
         }
     };
     let read = async move {
-        let mut come = BytesMut::new();
+        let mut received = BytesMut::new();
         loop {
             loop {
-                match frame::next(&mut come) {
+                match frame::take_frame(&mut received) {
                     Ok(Some(frame)) => {
-                        let Ok(ask) = frame::decode::<RpcRequest>(&frame.body) else { return };
-                        let (answering, sender) = (answer(ask), sender.clone());
+                        let Ok(request) = frame::decode::<RpcRequest>(&frame.body) else { return };
+                        let (handling, sender) = (handler(request), sender.clone());
                         metrics::SERVED_CALLS.increment();
                         spawn_local(async move {
                             let _open = metrics::SERVED_CALLS_OPEN.hold();
-                            let Some(told) = answering.await.filter(|_| frame.kind == FrameKind::Request)
+                            let Some(response) = handling.await.filter(|_| frame.kind == FrameKind::Request)
                             else {
                                 return;
                             };
-                            if let Ok(bytes) = frame::encode(FrameKind::Response, frame.number, &told)
+                            if let Ok(bytes) =
+                                frame::encode(FrameKind::Response, frame.call_number, &response)
                                 && sender.try_send(bytes).is_err()
                             {
                                 metrics::DROPPED_FRAMES.increment();
@@ -78,11 +82,11 @@
                         });
                     }
                     Ok(None) => break,
-                    // What is no frame, or of another version, ends the connection.
+                    // Bytes that are no frame, or a frame of another protocol version, end the connection.
                     Err(_) => return,
                 }
             }
-            match from.read_buf(&mut come).await {
+            match from.read_buf(&mut received).await {
                 Ok(0) | Err(_) => return,
                 Ok(_) => {}
             }
--- a/mesh/rpc/tests/frames.rs
+++ b/mesh/rpc/tests/frames.rs
@@ -1,50 +1,51 @@
-//! Frames: whatever comes is a frame or an error, in pieces of any size, and never more memory than a frame may have.
+//! Tests that received bytes, split in any way, decode to the sent frames or to an error, and that a false length does not
+//! cause a large allocation.
 
 use bytes::BytesMut;
 use quickcheck::quickcheck;
-use sloeline_rpc::frame::{FrameKind, MOST_FRAME, VERSION, decode, encode, next};
+use sloeline_rpc::frame::{FrameKind, MAX_FRAME_BYTES, PROTOCOL_VERSION, decode, encode, take_frame};
 use sloeline_rpc::{RpcRequest, RpcResponse};
 
 quickcheck! {
-    fn frames_come_out_as_they_went_in_however_they_are_cut(messages: Vec<(u64, String)>, cuts: Vec<u8>) -> bool {
+    fn frames_decode_to_what_was_encoded_however_the_bytes_are_split(messages: Vec<(u64, String)>, cuts: Vec<u8>) -> bool {
         let sent: Vec<(u64, RpcResponse)> =
-            messages.into_iter().map(|(number, why)| (number, RpcResponse::Unavailable(why))).collect();
+            messages.into_iter().map(|(number, text)| (number, RpcResponse::Unavailable(text))).collect();
         let bytes: Vec<u8> = sent.iter()
-            .flat_map(|(number, told)| encode(FrameKind::Response, *number, told).expect("small").to_vec()).collect();
-        let (mut come, mut got, mut at) = (BytesMut::new(), Vec::new(), 0);
-        let mut cuts = cuts.into_iter().map(|c| usize::from(c) + 1).chain(std::iter::repeat(17));
+            .flat_map(|(number, response)| encode(FrameKind::Response, *number, response).expect("small").to_vec()).collect();
+        let (mut received, mut decoded, mut at) = (BytesMut::new(), Vec::new(), 0);
+        let mut cuts = cuts.into_iter().map(|cut| usize::from(cut) + 1).chain(std::iter::repeat(17));
         while at < bytes.len() {
             let to = (at + cuts.next().unwrap_or(1)).min(bytes.len());
-            come.extend_from_slice(&bytes[at..to]);
+            received.extend_from_slice(&bytes[at..to]);
             at = to;
-            while let Some(frame) = next(&mut come).expect("good frames") {
-                got.push((frame.number, decode::<RpcResponse>(&frame.body).expect("a message")));
+            while let Some(frame) = take_frame(&mut received).expect("valid frames") {
+                decoded.push((frame.call_number, decode::<RpcResponse>(&frame.body).expect("a message")));
             }
         }
-        come.is_empty() && got == sent
+        received.is_empty() && decoded == sent
     }
 
-    fn whatever_comes_is_a_frame_or_an_error(bytes: Vec<u8>) -> bool {
-        let mut come = BytesMut::from(&bytes[..]);
-        // Each turn ends, takes bytes away, or waits for more.
+    fn arbitrary_bytes_are_a_frame_incomplete_or_an_error(bytes: Vec<u8>) -> bool {
+        let mut received = BytesMut::from(&bytes[..]);
+        // Each iteration must consume bytes, or end the loop.
         loop {
-            let before = come.len();
-            match next(&mut come) {
+            let before = received.len();
+            match take_frame(&mut received) {
                 Ok(Some(frame)) => {
                     let _ = decode::<RpcRequest>(&frame.body);
-                    assert!(come.len() < before);
+                    assert!(received.len() < before);
                 }
                 Ok(None) | Err(_) => return true,
             }
         }
     }
 
-    fn a_message_with_changed_bytes_is_another_or_an_error(at: usize, to: u8) -> bool {
-        let good = encode(FrameKind::Request, 7, &RpcRequest::PushRecords(Vec::new())).expect("small");
-        let mut bytes = good.to_vec();
+    fn a_message_with_a_changed_byte_decodes_or_fails_without_a_panic(at: usize, value: u8) -> bool {
+        let valid = encode(FrameKind::Request, 7, &RpcRequest::PushRecords(Vec::new())).expect("small");
+        let mut bytes = valid.to_vec();
         let at = at % bytes.len();
-        bytes[at] = to;
-        if let Ok(Some(frame)) = next(&mut BytesMut::from(&bytes[..])) {
+        bytes[at] = value;
+        if let Ok(Some(frame)) = take_frame(&mut BytesMut::from(&bytes[..])) {
             let _ = decode::<RpcRequest>(&frame.body);
         }
         true
@@ -52,18 +53,20 @@
 }
 
 #[test]
-fn what_is_too_long_or_of_another_version_is_an_error_at_once() {
-    let head = |length: u32, version: u8| {
+fn an_invalid_length_or_version_is_an_error_before_the_frame_is_complete() {
+    let header = |length: u32, version: u8| {
         let mut bytes = BytesMut::from(&length.to_be_bytes()[..]);
         bytes.extend_from_slice(&[version]);
         bytes
     };
-    for (length, version, told) in
-        [(MOST_FRAME as u32 + 1, VERSION, "length"), (9, VERSION, "length"), (64, VERSION + 1, "version")]
-    {
-        let why = next(&mut head(length, version)).expect_err(told).to_string();
-        assert!(why.contains(told) && why.contains("expected"), "{why}");
+    for (length, version, field) in [
+        (MAX_FRAME_BYTES as u32 + 1, PROTOCOL_VERSION, "length"),
+        (9, PROTOCOL_VERSION, "length"),
+        (64, PROTOCOL_VERSION + 1, "version"),
+    ] {
+        let error = take_frame(&mut header(length, version)).expect_err(field).to_string();
+        assert!(error.contains(field) && error.contains("expected"), "{error}");
     }
-    // Ten claims of a huge list cost no memory: they are no message.
+    // A list header that claims four billion elements must fail without allocating memory for them.
     assert!(decode::<RpcRequest>(&[0xdd, 0xff, 0xff, 0xff, 0xff]).is_err());
 }
--- a/mesh/rpc/tests/late_connections.rs
+++ b/mesh/rpc/tests/late_connections.rs
@@ -1,4 +1,4 @@
-//! Connections that take long to come up, as over a link that is full: they are kept once they are there.
+//! Tests connections that take long to open, as over a congested link: they are kept once they are open.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -13,50 +13,54 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::timeout;
 
-/// Connections that are begun to fill the queue of a listener.
-const FILLERS: usize = 8;
-/// A connection on loopback that takes so long waits for room.
-const HANGS: Duration = Duration::from_millis(100);
+/// Number of connections opened to fill the accept queue of a listener.
+const FILLER_COUNT: usize = 8;
+/// A loopback connection that is not open after this time is waiting for a place in the accept queue.
+const HANG_TIME: Duration = Duration::from_millis(100);
 
-/// A listener whose queue is full: opening packets are dropped until somebody accepts.
+/// Returns a listener whose accept queue is full, its address, and the tasks that hold the queued connections. The kernel
+/// drops further SYN packets until a connection is accepted.
 async fn full_listener() -> (TcpListener, SocketAddr, Vec<tokio::task::JoinHandle<()>>) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("an address");
-    socket.listen(0).expect("it listens");
-    socket.set_nonblocking(true).expect("as the runtime wants it");
+    socket.listen(0).expect("a listening socket");
+    socket.set_nonblocking(true).expect("a nonblocking socket");
     let listener = TcpListener::from_std(socket.into()).expect("a listener");
     let address = listener.local_addr().expect("its address");
-    let fillers = (0..FILLERS)
+    let fillers = (0..FILLER_COUNT)
         .map(|_| {
             spawn_local(async move {
-                let _kept = TcpStream::connect(address).await;
+                let _open = TcpStream::connect(address).await;
                 std::future::pending::<()>().await;
             })
         })
         .collect();
-    // Full once a further attempt hangs for as long as no connection on loopback takes.
-    while timeout(HANGS, TcpStream::connect(address)).await.is_ok() {}
+    // The queue is full once a further connection does not open in time.
+    while timeout(HANG_TIME, TcpStream::connect(address)).await.is_ok() {}
     (listener, address, fillers)
 }
 
 #[test]
-fn a_connection_that_comes_up_late_is_not_closed_for_a_call_that_ended_before() {
+fn a_connection_that_opens_late_is_not_closed_because_of_an_earlier_timed_out_call() {
     let calls = Rc::new(Cell::new(0));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let (listener, address, fillers) = full_listener().await;
         let link = Link::new(address);
-        let ask = RpcRequest::CompareDigest { digest: 1 };
-        assert!(link.call(&ask, Duration::from_millis(300)).await.is_err(), "nobody accepts yet");
+        let request = RpcRequest::CompareDigest { digest: 1 };
+        assert!(
+            link.call(&request, Duration::from_millis(300)).await.is_err(),
+            "no connection is accepted yet"
+        );
         fillers.iter().for_each(|filler| filler.abort());
-        let served = calls.clone();
+        let served_calls = calls.clone();
         spawn_local(serve(listener, move |_| {
-            served.set(served.get() + 1);
+            served_calls.set(served_calls.get() + 1);
             async { Some(RpcResponse::Done) }
         }));
-        let answer = link.call(&ask, Duration::from_secs(5)).await;
-        assert!(matches!(answer, Ok(RpcResponse::Done)), "{answer:?}");
-        assert!(link.up().is_some());
-        assert_eq!(calls.get(), 1, "a call that has ended is not made later");
+        let response = link.call(&request, Duration::from_secs(5)).await;
+        assert!(matches!(response, Ok(RpcResponse::Done)), "{response:?}");
+        assert!(link.connected_since().is_some());
+        assert_eq!(calls.get(), 1, "a timed-out call is not sent later");
     });
 }
--- a/mesh/rpc/tests/network/mod.rs
+++ b/mesh/rpc/tests/network/mod.rs
@@ -1,5 +1,5 @@
-//! Processes of the mesh on loopback behind links of a given bandwidth. Time is paused: it moves on whenever nothing else is
-//! left to do, so a slow link costs the test no time.
+//! Mesh processes on loopback behind links of limited bandwidth. The clock is paused: it advances when all tasks are idle, so
+//! a slow link does not slow down the test.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -15,11 +15,11 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// Bytes that a link carries at once; what follows waits for its turn.
-const PACKET: usize = 4 << 10;
+/// Maximum number of bytes that a link carries at a time.
+const PACKET_BYTES: usize = 4 << 10;
 
-/// Runs a test with paused time.
-pub fn play(test: impl AsyncFnOnce()) {
+/// Runs a test on a runtime whose clock is paused.
+pub fn run_paused(test: impl AsyncFnOnce()) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
@@ -28,22 +28,26 @@
     LocalSet::new().block_on(&runtime, test());
 }
 
-/// The bandwidth of one machine, shared by all connections to it, and what it has carried.
+/// The bandwidth of one machine, shared by all connections to it, and a count of the bytes carried.
 pub struct Bandwidth {
     bytes_per_second: u64,
+    /// When the link has carried all bytes accepted so far.
     free_at: Cell<Instant>,
     carried: Cell<u64>,
 }
 
 impl Bandwidth {
+    /// Creates an idle link that carries `bytes_per_second`.
     pub fn new(bytes_per_second: u64) -> Rc<Bandwidth> {
         Rc::new(Bandwidth { bytes_per_second, free_at: Cell::new(Instant::now()), carried: Cell::new(0) })
     }
 
+    /// Total number of bytes carried so far.
     pub fn carried(&self) -> u64 {
         self.carried.get()
     }
 
+    /// Waits until the link has carried `bytes` more bytes.
     async fn carry(&self, bytes: usize) {
         let time = Duration::from_secs_f64(bytes as f64 / self.bytes_per_second as f64);
         let until = self.free_at.get().max(Instant::now()) + time;
@@ -53,16 +57,16 @@
     }
 }
 
-/// A relay to a process; what comes back from it takes up the bandwidth.
+/// Starts a relay to a process and returns its address. Bytes from the process take up the bandwidth.
 pub async fn relay(to: SocketAddr, bandwidth: Rc<Bandwidth>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("its address");
     spawn_local(async move {
-        while let Ok((near, _)) = listener.accept().await {
+        while let Ok((client, _)) = listener.accept().await {
             let bandwidth = bandwidth.clone();
             spawn_local(async move {
-                if let Ok(far) = TcpStream::connect(to).await {
-                    carry(near, far, &bandwidth).await;
+                if let Ok(server) = TcpStream::connect(to).await {
+                    relay_connection(client, server, &bandwidth).await;
                 }
             });
         }
@@ -70,19 +74,20 @@
     address
 }
 
-async fn carry(near: TcpStream, far: TcpStream, bandwidth: &Bandwidth) {
-    let (mut near_in, mut near_out) = near.into_split();
-    let (mut far_in, mut far_out) = far.into_split();
-    let up = async { tokio::io::copy(&mut near_in, &mut far_out).await.map(|_| ()) };
+/// Copies bytes in both directions until one side closes; bytes from `server` to `client` take up the bandwidth.
+async fn relay_connection(client: TcpStream, server: TcpStream, bandwidth: &Bandwidth) {
+    let (mut client_in, mut client_out) = client.into_split();
+    let (mut server_in, mut server_out) = server.into_split();
+    let up = async { tokio::io::copy(&mut client_in, &mut server_out).await.map(|_| ()) };
     let down = async {
-        let mut packet = vec![0; PACKET];
+        let mut packet = vec![0; PACKET_BYTES];
         loop {
-            let bytes = far_in.read(&mut packet).await?;
+            let bytes = server_in.read(&mut packet).await?;
             if bytes == 0 {
                 return Ok::<(), std::io::Error>(());
             }
             bandwidth.carry(bytes).await;
-            near_out.write_all(&packet[..bytes]).await?;
+            client_out.write_all(&packet[..bytes]).await?;
         }
     };
     tokio::select! {
@@ -91,7 +96,7 @@
     }
 }
 
-/// A process that knows of nothing but itself.
+/// Creates a process whose view contains only its own record.
 pub fn process(name: &str) -> Rc<Exchange> {
     Exchange::new(Record {
         source: name.to_owned(),
@@ -105,21 +110,21 @@
     })
 }
 
-/// Serves what others ask of a process; its address.
+/// Starts a server that answers requests to a process, and returns its address.
 pub async fn listen(exchange: &Rc<Exchange>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("its address");
     let exchange = exchange.clone();
-    spawn_local(serve(listener, move |ask| super::answer(exchange.clone(), ask)));
+    spawn_local(serve(listener, move |request| super::answer(exchange.clone(), request)));
     address
 }
 
-/// A configuration of many routes. `changed` is the time-out of the first.
-pub fn configuration(edition: u32, routes: u32, changed: u32) -> Config {
+/// Returns a configuration with `routes` routes. `first_timeout` is the timeout of the first route in milliseconds.
+pub fn configuration(edition: u32, routes: u32, first_timeout: u32) -> Config {
     let route = |number: u32| {
-        // As random as an operator's names are.
+        // Pseudo-random names compress as badly as the names of a real configuration.
         let name = number.wrapping_mul(2_654_435_761) ^ 0x5bd1_e995;
-        let timeout = if number == 0 { changed } else { 2500 };
+        let timeout = if number == 0 { first_timeout } else { 2500 };
         format!(
             r#"{{"name":"r-{name:08x}","route_kind":"safe","target":"600ms","precedence":2,"sort_by":{{"lane_prefix":"/{name:x}/"}},"dispatch":{{"line":"huvo11a","timeout":"{timeout}ms","tries":2}}}}"#
         )
@@ -132,10 +137,10 @@
     Config { edition, body: Bytes::from(body) }
 }
 
-/// Waits until a process has this configuration; tells whether it did within `within`.
-pub async fn has(exchange: &Exchange, wanted: &Config, within: Duration) -> bool {
+/// Waits until the view of a process has the given configuration. Returns whether that happened within `within`.
+pub async fn has_config(exchange: &Exchange, wanted: &Config, within: Duration) -> bool {
     let mut changes = exchange.subscribe();
-    let came = async {
+    let arrived = async {
         loop {
             if exchange.view().config().is_some_and(|config| *config == *wanted) {
                 return;
@@ -145,5 +150,5 @@
             }
         }
     };
-    timeout(within, came).await.is_ok()
+    timeout(within, arrived).await.is_ok()
 }
