--- a/mesh/admin-http/src/control.rs
+++ b/mesh/admin-http/src/control.rs
@@ -1,4 +1,5 @@
-//! Calls of operators and upstreams: small requests with a whole body, answered whole.
+//! An HTTP/1.1 server for calls of operators and upstreams: small requests whose body is read completely before they are
+//! handled.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -17,101 +18,105 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// How long a head may take.
-const HEAD: Duration = Duration::from_secs(3);
-/// How long a body may take.
-const BODY: Duration = Duration::from_secs(10);
-const PAUSE: Duration = Duration::from_millis(20);
+/// Maximum time for receiving a request head.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum time for receiving a request body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Pause after a connection could not be accepted.
+const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(20);
 
-/// A call, read whole.
+/// A received call with its complete body.
 #[derive(Debug)]
 pub struct Call {
-    /// The method.
+    /// HTTP method of the request.
     pub method: Method,
-    /// The path.
+    /// Path of the request, without the query.
     pub path: String,
-    /// What is called: `call` of the query.
+    /// Name of the called operation: the query parameter `call`.
     pub name: Option<String>,
-    /// On what: `of` of the query.
+    /// Identifier of the object that the call is about: the query parameter `of`.
     pub target: Option<String>,
-    /// The headers.
+    /// Headers of the request.
     pub headers: HeaderMap,
-    /// The body.
+    /// Complete body of the request.
     pub body: Bytes,
 }
 
-/// The answer to a call.
+/// The response to a call.
 pub type ControlResponse = Response<Full<Bytes>>;
 
-/// An answer of a status and a sentence.
+/// Builds a response with a status and a plain text.
 pub fn text_response(status: StatusCode, text: impl Into<Bytes>) -> ControlResponse {
-    let mut answer = Response::new(Full::new(text.into()));
-    *answer.status_mut() = status;
-    answer
+    let mut response = Response::new(Full::new(text.into()));
+    *response.status_mut() = status;
+    response
 }
 
-/// An answer of JSON.
+/// Builds a response with a status and a JSON body.
 pub fn json_response(status: StatusCode, body: impl Into<Bytes>) -> ControlResponse {
-    let mut answer = text_response(status, body);
-    answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    answer
+    let mut response = text_response(status, body);
+    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    response
 }
 
-/// A mistake of the caller's, as JSON.
-pub fn error_response(status: StatusCode, why: &str) -> ControlResponse {
-    json_response(status, serde_json::json!({ "error": why }).to_string())
+/// Builds an error response, whose JSON body has the message under `error`.
+pub fn error_response(status: StatusCode, message: &str) -> ControlResponse {
+    json_response(status, serde_json::json!({ "error": message }).to_string())
 }
 
-/// Takes calls for good; bodies have at most so many bytes.
-pub async fn serve<A, F>(listener: TcpListener, most_body: usize, answer: A)
+/// Accepts connections forever and passes each call and the address of its peer to `handler`. A body of more than
+/// `max_body_bytes` bytes is refused.
+pub async fn serve<A, F>(listener: TcpListener, max_body_bytes: usize, handler: A)
 where
     A: Fn(Call, SocketAddr) -> F + 'static,
     F: Future<Output = ControlResponse> + 'static,
 {
-    let answer = Rc::new(answer);
+    let handler = Rc::new(handler);
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
-                spawn_local(connection(stream, peer, most_body, answer.clone()));
+                spawn_local(serve_connection(stream, peer, max_body_bytes, handler.clone()));
             }
-            Err(_) => sleep(PAUSE).await,
+            Err(_) => sleep(ACCEPT_ERROR_PAUSE).await,
         }
     }
 }
 
-async fn connection<A, F>(stream: TcpStream, peer: SocketAddr, most_body: usize, answer: Rc<A>)
+/// Serves the calls of one connection, until it is closed or a request head times out.
+async fn serve_connection<A, F>(stream: TcpStream, peer: SocketAddr, max_body_bytes: usize, handler: Rc<A>)
 where
     A: Fn(Call, SocketAddr) -> F + 'static,
     F: Future<Output = ControlResponse> + 'static,
 {
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request: Request<Incoming>| {
-        let answer = answer.clone();
+        let handler = handler.clone();
         async move {
-            Ok::<_, Infallible>(match read(request, most_body).await {
-                Ok(call) => answer(call, peer).await,
-                Err(answer) => answer,
+            Ok::<_, Infallible>(match read_call(request, max_body_bytes).await {
+                Ok(call) => handler(call, peer).await,
+                Err(response) => response,
             })
         }
     });
     let mut builder = http1::Builder::new();
-    builder.timer(TokioTimer::new()).header_read_timeout(HEAD).max_buf_size(64 * 1024);
+    builder.timer(TokioTimer::new()).header_read_timeout(HEAD_TIMEOUT).max_buf_size(64 * 1024);
     let _ = builder.serve_connection(TokioIo::new(stream), service).await;
 }
 
-async fn read(request: Request<Incoming>, most: usize) -> Result<Call, ControlResponse> {
+/// Reads a request completely. The error is the response to send instead of calling the handler.
+async fn read_call(request: Request<Incoming>, max_body_bytes: usize) -> Result<Call, ControlResponse> {
     let (head, body) = request.into_parts();
-    let body = match timeout(BODY, Limited::new(body, most).collect()).await {
+    let body = match timeout(BODY_TIMEOUT, Limited::new(body, max_body_bytes).collect()).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(_)) => {
-            let why = format!("the body broke off or is longer than {most} bytes");
-            return Err(error_response(StatusCode::PAYLOAD_TOO_LARGE, &why));
+            let message = format!("the body is incomplete or longer than {max_body_bytes} bytes");
+            return Err(error_response(StatusCode::PAYLOAD_TOO_LARGE, &message));
         }
         Err(_) => return Err(error_response(StatusCode::REQUEST_TIMEOUT, "the body took too long")),
     };
     let query = |name: &str| {
-        let pairs = head.uri.query().unwrap_or("").split('&').filter_map(|p| p.split_once('='));
-        pairs.filter(|(n, _)| *n == name).map(|(_, v)| v.to_owned()).next()
+        let pairs = head.uri.query().unwrap_or("").split('&').filter_map(|pair| pair.split_once('='));
+        pairs.filter(|(key, _)| *key == name).map(|(_, value)| value.to_owned()).next()
     };
     let (name, target) = (query("call"), query("of"));
     Ok(Call {
--- a/mesh/admin-http/src/lib.rs
+++ b/mesh/admin-http/src/lib.rs
@@ -1,5 +1,6 @@
-//! What both programs of the mesh stand on: [`control`], the calls of operators and upstreams over HTTP/1.1, [`logging`], the
-//! log, [`metrics`], figures for monitoring, [`program`], the command line, and [`reload`], the settings file as it changes.
+//! Common parts of the control-plane and data-plane programs: [`control`] serves calls of operators and upstreams over
+//! HTTP/1.1, [`logging`] sets up the log, [`metrics`] exports metrics, [`program`] implements the command line, and [`reload`]
+//! watches the settings file.
 
 pub mod control;
 pub mod logging;
--- a/mesh/admin-http/src/metrics.rs
+++ b/mesh/admin-http/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Serves a process's figures in the Prometheus text format.
+//! Serves the metrics of a process over HTTP in the Prometheus text format.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -9,27 +9,28 @@
 
 use crate::control::{self, error_response, text_response};
 
-/// Where each process of the mesh serves its figures; `deploy/system.toml` names the same port.
+/// TCP port at which each mesh process serves its metrics. `deploy/system.toml` must name the same port.
 pub const PORT: u16 = 9464;
-/// The path.
+/// Path of the request that returns the metrics.
 pub const PATH: &str = "/metrics";
 
-/// Serves these figures for good. A port that is taken is logged and no error: nothing else depends on it.
+/// Serves the given metrics forever. If the port is in use, a warning is logged and the process runs on without serving
+/// metrics, because nothing else depends on them.
 pub async fn serve(address: IpAddr, lists: Vec<Metrics>) {
     let address = SocketAddr::new(address, PORT);
     let listener = match TcpListener::bind(address).await {
         Ok(listener) => listener,
-        Err(why) => {
-            warn!(target: "metrics", "Not served at {address}: {why}.");
+        Err(error) => {
+            warn!(target: "metrics", "Metrics are not served at {address}: {error}.");
             return;
         }
     };
     control::serve(listener, 0, move |call, _| {
-        let answer = match call.method == Method::GET && call.path == PATH {
+        let response = match call.method == Method::GET && call.path == PATH {
             true => text_response(StatusCode::OK, render(&lists)),
             false => error_response(StatusCode::NOT_FOUND, "expected GET /metrics"),
         };
-        async move { answer }
+        async move { response }
     })
     .await;
 }
--- a/mesh/admin-http/src/program.rs
+++ b/mesh/admin-http/src/program.rs
@@ -1,4 +1,5 @@
-//! The command line that both programs have: `run` and `check`, over a settings file.
+//! The command line of both programs: the subcommands `run` and `check`, which take a settings file, and further subcommands
+//! of one program.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -7,27 +8,28 @@
 use clap::{Arg, ArgMatches, Command, value_parser};
 use sloeline_process_settings::Settings;
 
-/// A program of the mesh.
+/// A mesh program and its command line.
 pub struct Program {
-    /// Its name.
+    /// Name of the program.
     pub name: &'static str,
-    /// What it is, in a line.
+    /// Description of the program in one line.
     pub about: &'static str,
-    /// Serves by a settings file until it is told to stop.
+    /// Runs the process with the given settings file until it receives SIGTERM.
     pub run: fn(&Path) -> Result<()>,
-    /// What it can do besides.
+    /// Subcommands besides `run` and `check`.
     pub subcommands: Vec<Subcommand>,
 }
 
-/// A subcommand of one program alone. All of them take `--settings`.
+/// A subcommand that only one program has. Each subcommand takes `--settings`.
 pub struct Subcommand {
-    /// Its name, help and arguments.
+    /// Name, help text and arguments of the subcommand.
     pub command: Command,
-    /// Does it, by the settings and its arguments.
-    pub act: fn(&Path, &ArgMatches) -> Result<ExitCode>,
+    /// Executes the subcommand with the path of the settings file and the parsed arguments.
+    pub execute: fn(&Path, &ArgMatches) -> Result<ExitCode>,
 }
 
 impl Program {
+    /// Builds the command line parser.
     fn command(&self) -> Command {
         let settings = Arg::new("settings")
             .long("settings")
@@ -40,17 +42,20 @@
             .long("log")
             .value_name("FILTER")
             .default_value("info")
-            .help("Which lines are written: error, warn, info, debug, or by part as in info,keys=debug");
+            .help("Log filter: error, warn, info or debug, also by log target as in info,keys=debug");
         Command::new(self.name)
             .about(self.about)
             .version(clap::crate_version!())
             .subcommand_required(true)
             .subcommand(Command::new("run").about("Serves until SIGTERM").arg(settings.clone()).arg(log))
             .subcommand(Command::new("check").about("Checks a settings file").arg(settings.clone()))
-            .subcommands(self.subcommands.iter().map(|more| more.command.clone().arg(settings.clone())))
+            .subcommands(
+                self.subcommands.iter().map(|subcommand| subcommand.command.clone().arg(settings.clone())),
+            )
     }
 
-    fn act(&self, matches: &ArgMatches) -> Result<ExitCode> {
+    /// Executes the subcommand that was given on the command line.
+    fn execute(&self, matches: &ArgMatches) -> Result<ExitCode> {
         let path = |matches: &ArgMatches| matches.get_one::<PathBuf>("settings").cloned().unwrap_or_default();
         match matches.subcommand() {
             Some(("run", matches)) => {
@@ -65,8 +70,8 @@
                 Ok(ExitCode::SUCCESS)
             }
             Some((name, matches)) => {
-                match self.subcommands.iter().find(|more| more.command.get_name() == name) {
-                    Some(more) => (more.act)(&path(matches), matches),
+                match self.subcommands.iter().find(|subcommand| subcommand.command.get_name() == name) {
+                    Some(subcommand) => (subcommand.execute)(&path(matches), matches),
                     None => Ok(ExitCode::FAILURE),
                 }
             }
@@ -74,12 +79,12 @@
         }
     }
 
-    /// Does what the command line says; an error is one line on standard error.
+    /// Executes the command line of the process. An error is printed as one line to standard error.
     pub fn main(&self) -> ExitCode {
-        match self.act(&self.command().get_matches()) {
+        match self.execute(&self.command().get_matches()) {
             Ok(code) => code,
-            Err(why) => {
-                eprintln!("{}: {why:#}", self.name);
+            Err(error) => {
+                eprintln!("{}: {error:#}", self.name);
                 ExitCode::FAILURE
             }
         }
--- a/mesh/control-plane/src/commands.rs
+++ b/mesh/control-plane/src/commands.rs
@@ -47,8 +47,8 @@
         )
         .arg(yes);
     vec![
-        Subcommand { command: status, act: print_status },
-        Subcommand { command: restore, act: |settings, _| restore_from_disk(settings) },
+        Subcommand { command: status, execute: print_status },
+        Subcommand { command: restore, execute: |settings, _| restore_from_disk(settings) },
     ]
 }
 
--- a/mesh/control-plane/src/core.rs
+++ b/mesh/control-plane/src/core.rs
@@ -207,7 +207,7 @@
     /// made. A change of view on the way does not end it: contact comes and goes with each.
     pub async fn change(&self, change: &Change, within: Duration) -> Result<ChangeResult> {
         metrics::CHANGES.increment();
-        let _open = metrics::CHANGES_OPEN.hold();
+        let _open = metrics::CHANGES_OPEN.count_while_held();
         let request = self.request.get() + 1;
         self.request.set(request);
         let (sender, result) = oneshot::channel();
--- a/mesh/control-plane/src/operator.rs
+++ b/mesh/control-plane/src/operator.rs
@@ -80,7 +80,7 @@
         return elsewhere(core, dock, "config.replace");
     }
     let edition = config.edition.0;
-    let within = CHANGE_WITHIN + CHANGE_PER_ROUTE * config.routes() as u32;
+    let within = CHANGE_WITHIN + CHANGE_PER_ROUTE * config.route_count() as u32;
     match core.change(&Change::Config(Config { edition, body }), within).await {
         Ok(ChangeResult::Taken { holds }) => {
             let body = serde_json::json!({ "edition": format!("{holds:08x}") });
--- a/mesh/control-plane/src/program.rs
+++ b/mesh/control-plane/src/program.rs
@@ -14,7 +14,7 @@
 use sloeline_discovery::{Pull, PullResponse, Record, Version};
 use sloeline_idempotency::ClaimUpdate;
 use sloeline_process_settings::Settings;
-use sloeline_route_config::model::MOST_BYTES;
+use sloeline_route_config::model::MAX_CONFIG_BYTES;
 use sloeline_rpc::exchange::{Exchange, PeerSync};
 use sloeline_rpc::serve::serve;
 use sloeline_rpc::{RpcRequest, RpcResponse};
@@ -155,7 +155,7 @@
     if let Some(dock) = settings.listen_addrs.control {
         let listener = TcpListener::bind(dock).await.with_context(|| format!("listen at {dock}"))?;
         let core = core.clone();
-        spawn_local(control::serve(listener, MOST_BYTES, move |call, _| {
+        spawn_local(control::serve(listener, MAX_CONFIG_BYTES, move |call, _| {
             operator::answer(core.clone(), dock, call)
         }));
     }
--- a/mesh/metrics/src/lib.rs
+++ b/mesh/metrics/src/lib.rs
@@ -1,31 +1,31 @@
-//! Figures that a process tells of itself: [`Counter`], [`Gauge`] and [`Invariant`] are statics of the module that they measure,
-//! each crate lists its own as `METRICS`, and [`render`] writes such lists in the Prometheus text format.
+//! Metrics of a process: each crate declares its [`Counter`]s, [`Gauge`]s and [`Invariant`]s as statics and lists them in a
+//! static `METRICS`; [`render`] writes such lists in the Prometheus text format.
 //!
-//! An [`Invariant`] is a condition that must hold whenever the code passes by. It is checked in every build; each violation is
-//! counted and logged with the prefix `defect`, and tests read the count.
+//! An [`Invariant`] is a condition that must hold each time the code checks it. It is checked in every build, debug and
+//! release. Each violation is counted, the first are logged with the target `defect`, and tests assert that the count is 0.
 
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// Violations of one invariant that are logged; those beyond are only counted.
-const MOST_LOGGED: u64 = 20;
+/// Number of violations logged for each invariant; further violations are only counted.
+const MAX_LOGGED_VIOLATIONS: u64 = 20;
 
-/// A figure with a name.
+/// A named value that a process exports.
 pub trait Metric: Sync {
-    /// Its name, with the unit as its last word.
+    /// Name of the metric in the Prometheus format, such as `sent_bytes_total`.
     fn name(&self) -> &'static str;
-    /// What it counts or measures, in a sentence.
+    /// Help text: what the metric counts or measures, in one sentence.
     fn help(&self) -> &'static str;
-    /// `counter` or `gauge`.
+    /// Prometheus type of the metric: `counter` or `gauge`.
     fn kind(&self) -> &'static str;
-    /// Its value now.
+    /// Current value of the metric.
     fn value(&self) -> u64;
 }
 
-/// The metrics of a crate.
+/// A list of metrics, such as all metrics of one crate.
 pub type Metrics = &'static [&'static dyn Metric];
 
-/// A number that only goes up.
+/// A metric that only increases.
 pub struct Counter {
     name: &'static str,
     help: &'static str,
@@ -33,19 +33,19 @@
 }
 
 impl Counter {
-    /// One that stands at zero.
+    /// Creates a counter with the value 0.
     pub const fn new(name: &'static str, help: &'static str) -> Counter {
         Counter { name, help, value: AtomicU64::new(0) }
     }
 
-    /// Counts one more.
+    /// Increases the counter by 1.
     pub fn increment(&self) {
         self.add(1);
     }
 
-    /// Counts so many more.
-    pub fn add(&self, more: u64) {
-        self.value.fetch_add(more, Relaxed);
+    /// Increases the counter by `amount`.
+    pub fn add(&self, amount: u64) {
+        self.value.fetch_add(amount, Relaxed);
     }
 }
 
@@ -67,7 +67,7 @@
     }
 }
 
-/// A number that goes up and down.
+/// A metric that can increase and decrease.
 pub struct Gauge {
     name: &'static str,
     help: &'static str,
@@ -75,18 +75,18 @@
 }
 
 impl Gauge {
-    /// One that stands at zero.
+    /// Creates a gauge with the value 0.
     pub const fn new(name: &'static str, help: &'static str) -> Gauge {
         Gauge { name, help, value: AtomicU64::new(0) }
     }
 
-    /// Sets it.
+    /// Sets the gauge to `value`.
     pub fn set(&self, value: u64) {
         self.value.store(value, Relaxed);
     }
 
-    /// Counts one for as long as the guard lives.
-    pub fn hold(&'static self) -> GaugeGuard {
+    /// Increases the gauge by 1 until the returned guard is dropped.
+    pub fn count_while_held(&'static self) -> GaugeGuard {
         self.value.fetch_add(1, Relaxed);
         GaugeGuard(self)
     }
@@ -110,7 +110,7 @@
     }
 }
 
-/// One of what a [`Gauge`] counts.
+/// Keeps a [`Gauge`] increased by 1; the gauge decreases again when the guard is dropped.
 pub struct GaugeGuard(&'static Gauge);
 
 impl Drop for GaugeGuard {
@@ -119,7 +119,7 @@
     }
 }
 
-/// A condition that must always hold; its value is the number of violations.
+/// A condition that must always hold. As a metric, its value is the number of violations.
 pub struct Invariant {
     name: &'static str,
     help: &'static str,
@@ -127,20 +127,20 @@
 }
 
 impl Invariant {
-    /// One that has not been violated.
+    /// Creates an invariant without violations. `help` states the condition in one sentence.
     pub const fn new(name: &'static str, help: &'static str) -> Invariant {
         Invariant { name, help, violations: AtomicU64::new(0) }
     }
 
-    /// Checks it. Where it does not hold, counts a violation and logs what `found` says. Gives back whether it holds.
+    /// Counts a violation unless `holds` is true, and logs the text that `found` returns. Returns `holds`.
     pub fn check(&self, holds: bool, found: impl FnOnce() -> String) -> bool {
-        if !holds && self.violations.fetch_add(1, Relaxed) < MOST_LOGGED {
+        if !holds && self.violations.fetch_add(1, Relaxed) < MAX_LOGGED_VIOLATIONS {
             log::error!(target: "defect", "{}: {}.", self.help, found());
         }
         holds
     }
 
-    /// How often it was violated.
+    /// Number of violations so far.
     pub fn violations(&self) -> u64 {
         self.violations.load(Relaxed)
     }
@@ -164,12 +164,12 @@
     }
 }
 
-/// All of these lists in the Prometheus text format.
+/// Renders all metrics of the given lists in the Prometheus text format.
 pub fn render(lists: &[Metrics]) -> String {
     let mut text = String::new();
     for metric in lists.iter().flat_map(|list| list.iter()) {
         let (name, help, kind, value) = (metric.name(), metric.help(), metric.kind(), metric.value());
-        // Writing to a string never fails.
+        // Writing to a `String` never fails.
         let _ = write!(text, "# HELP {name} {help}\n# TYPE {name} {kind}\n{name} {value}\n");
     }
     text
--- a/mesh/process-settings/src/file.rs
+++ b/mesh/process-settings/src/file.rs
@@ -1,4 +1,4 @@
-//! A settings file that may change while its process runs, with or without a signal.
+//! A settings file that may change while the process runs, and what takes effect without a restart.
 
 use std::fs;
 use std::path::PathBuf;
@@ -8,10 +8,10 @@
 
 use crate::Settings;
 
-/// What tells one content of a file from the next without reading it.
+/// Modification time and length of a file; a change of either means that the content may have changed.
 type Fingerprint = (Option<SystemTime>, u64);
 
-/// A settings file and the settings that were read from it last.
+/// A settings file and the last valid settings read from it.
 pub struct SettingsFile {
     path: PathBuf,
     fingerprint: Option<Fingerprint>,
@@ -20,7 +20,7 @@
 }
 
 impl SettingsFile {
-    /// Reads and checks the file. Fails if it can't be read or is not valid.
+    /// Reads and validates the file. Fails if it cannot be read or is not valid.
     pub fn open(path: PathBuf) -> Result<SettingsFile> {
         let fingerprint = fingerprint(&path).ok();
         let text = read(&path)?;
@@ -33,8 +33,9 @@
         &self.settings
     }
 
-    /// Reads the file again if it looks different, or if `forced`. Returns the new settings when they are valid and differ.
-    /// On an error the settings in force stay, and the same file is not complained of twice.
+    /// Reads the file again if its modification time or length has changed, or if `forced`. Returns the new settings if they
+    /// are valid and the text has changed. On an error the settings in force stay; an unchanged invalid file is reported only
+    /// once.
     pub fn reload(&mut self, forced: bool) -> Result<Option<&Settings>> {
         let current = fingerprint(&self.path)?;
         if !forced && self.fingerprint == Some(current) {
@@ -57,15 +58,15 @@
 }
 
 fn fingerprint(path: &std::path::Path) -> Result<Fingerprint> {
-    let metadata = fs::metadata(path).with_context(|| format!("look at {}", path.display()))?;
+    let metadata = fs::metadata(path).with_context(|| format!("read metadata of {}", path.display()))?;
     Ok((metadata.modified().ok(), metadata.len()))
 }
 
-/// Names of the fields that differ between two settings though they take effect only at the next start of the process.
-pub fn fields_for_next_start(before: &Settings, after: &Settings) -> Vec<&'static str> {
+/// Returns the keys whose values differ between two settings but take effect only when the process is restarted.
+pub fn fields_needing_restart(before: &Settings, after: &Settings) -> Vec<&'static str> {
     let mut fields = Vec::new();
-    let mut compare = |name, same: bool| {
-        if !same {
+    let mut compare = |name, equal: bool| {
+        if !equal {
             fields.push(name);
         }
     };
--- a/mesh/process-settings/src/lib.rs
+++ b/mesh/process-settings/src/lib.rs
@@ -1,5 +1,7 @@
-//! The settings file of a process of the mesh, checked: every mistake at once, each with its field, what was found and
-//! what was expected. Fields that are not known are passed over.
+//! The settings file of a mesh process, read from TOML and validated.
+//!
+//! Validation errors name the field, what was found and what was expected. Fields out of range are reported together.
+//! Unknown fields are ignored, so that a file written for a newer version can be read.
 
 pub mod file;
 pub mod span;
@@ -10,104 +12,106 @@
 
 use anyhow::{Context, Result, bail};
 use serde::Deserialize;
-use span::{Span, span};
+use span::{Span, parse_span};
 use validator::{Validate, ValidationError};
 
-/// What a process is told.
+/// The settings of a mesh process. Field names that differ from the key in the file state the key.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[validate(schema(function = "consistent"))]
 pub struct Settings {
-    /// This machine's name.
+    /// Name of this machine, unique in the mesh.
     #[validate(length(min = 1, max = 255, message = "expected 1 to 255 bytes"))]
     pub node_name: String,
-    /// Its class.
+    /// Class of this machine, such as its hardware type.
     #[serde(default)]
     pub machine_class: String,
-    /// What is served here to those outside.
+    /// Roles in which this machine serves clients outside the mesh.
     #[serde(default)]
     pub serves_role: Vec<String>,
-    /// Its address.
+    /// IP address at which other machines reach this one.
     pub ip_addr: std::net::IpAddr,
-    /// Where this process listens for others of the mesh, if not at `ip_addr`: they reach it there through something between.
+    /// IP address at which this process listens for other mesh processes, if it differs from `ip_addr`, as behind an address
+    /// translation or a proxy.
     #[serde(default)]
     pub mesh_bind_addr: Option<std::net::IpAddr>,
-    /// Its zone.
+    /// Name of the zone that this machine is in.
     #[validate(length(min = 1, max = 255, message = "expected 1 to 255 bytes"))]
     pub zone_name: String,
-    /// Its region.
+    /// Region that this machine is in.
     #[serde(default)]
     pub region: String,
-    /// First and last port that is free for processes of the mesh.
+    /// First and last port reserved for mesh processes on this machine. Mesh traffic uses the first port.
     pub port_range: (u16, u16),
-    /// Where core machines were when the file was written.
+    /// Addresses of core machines at the time the file was written; the ports are ignored.
     #[serde(default)]
     #[validate(length(max = 64, message = "expected at most 64 addresses"))]
     pub seed_nodes: Vec<SocketAddr>,
-    /// The whole system starts for the first time.
+    /// Whether the whole system starts for the first time.
     #[serde(default)]
     pub first_boot: bool,
-    /// The folder of its disk.
+    /// Directory for persistent state; core machines need it.
     #[serde(default)]
     pub data_path: Option<PathBuf>,
-    /// How often the upstream says that it is there.
+    /// Interval between the heartbeats of this machine's upstream; `beat` in the file.
     #[serde(rename = "beat", default = "default_heartbeat_interval")]
     pub heartbeat_interval: Span,
-    /// Figures of the rules, `name=value`.
+    /// Parameters of the service guarantees, each as `name=value`; see [`Settings::guarantees`].
     #[serde(default)]
     pub guarantees: Vec<String>,
-    /// The upstream of this machine.
+    /// Address of the upstream on this machine; `app_addr` in the file.
     #[serde(rename = "app_addr", default)]
     pub upstream_addr: Option<SocketAddr>,
-    /// Its service.
+    /// Name of the service that the upstream on this machine provides; `line` in the file.
     #[serde(rename = "line", default)]
     pub service: Option<String>,
-    /// The zones and their regions.
+    /// Region of each zone, by zone name.
     #[serde(default)]
     pub zones: BTreeMap<String, String>,
-    /// Where this process serves.
+    /// Addresses at which this process listens; `docks` in the file.
     #[serde(rename = "docks", default)]
     pub listen_addrs: ListenAddrs,
-    /// What the machine has.
+    /// Resources of this machine.
     #[serde(default)]
     #[validate(nested)]
     pub size_limits: Size,
-    /// What may be lost at once.
+    /// Number of simultaneous failures that the system must tolerate.
     #[serde(default)]
     pub tolerance: Tolerance,
 }
 
+/// Default of [`Settings::heartbeat_interval`].
 fn default_heartbeat_interval() -> Span {
     Span::from_millis(1500)
 }
 
-/// Addresses at which a process serves.
+/// Addresses at which a process listens, each for one kind of traffic. `None` means that this kind is not served.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 pub struct ListenAddrs {
-    /// Requests for the upstream of this machine, from other balancers.
+    /// Accepts requests from other balancers for the upstream on this machine.
     pub incoming: Option<SocketAddr>,
-    /// Requests of this machine's clients and of its upstream.
+    /// Accepts requests from clients on this machine, including its upstream.
     pub outgoing: Option<SocketAddr>,
-    /// Whether this machine may get clients.
+    /// Serves the readiness check that tells whether clients may be sent to this machine.
     pub readiness: Option<SocketAddr>,
-    /// Beats, and operators' calls.
+    /// Accepts heartbeats of upstreams and calls of operators; `control_dock` in the file.
     #[serde(rename = "control_dock")]
     pub control: Option<SocketAddr>,
 }
 
-/// What a machine has.
+/// Resources of a machine.
 #[derive(Clone, Copy, Debug, Deserialize, Validate)]
 #[serde(default)]
 pub struct Size {
-    /// Part of a core.
+    /// CPU capacity in cores, possibly a fraction of one.
     #[validate(range(exclusive_min = 0.0, max = 4096.0, message = "expected more than 0, at most 4096"))]
     pub cpu_share: f64,
-    /// Megabytes of memory.
+    /// Memory in megabytes.
     #[validate(range(min = 16, max = 1_048_576, message = "expected 16 to 1048576"))]
     pub memory_mb: u64,
-    /// Descriptors.
+    /// Maximum number of open file descriptors.
     #[validate(range(min = 64, max = 1_048_576, message = "expected 64 to 1048576"))]
     pub file_handles: u64,
-    /// Megabits a second that its link carries.
+    /// Bandwidth of the network link in megabits per second.
     #[validate(range(min = 0.1, max = 1e6, message = "expected 0.1 to 1000000"))]
     pub link_mbps: f64,
 }
@@ -118,59 +122,60 @@
     }
 }
 
-/// What may be lost at once.
+/// Number of simultaneous failures that the system must tolerate.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Tolerance {
-    /// Machines that count.
+    /// Number of core machines that may fail at the same time without loss of data or service.
     pub machine_loss: u64,
 }
 
-/// Figures of the rules, with what holds where the file does not say.
+/// Parameters of the service guarantees. Parameters missing from the settings file have their default.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Guarantees {
-    /// How long a key is remembered.
+    /// How long a key of a tracked request is remembered.
     pub key_window: Span,
-    /// From the order to stop to the kill.
+    /// Time between the request to stop a process and its kill.
     pub grace: Span,
-    /// How long an upstream that leaves still serves.
+    /// How long an upstream that has announced its shutdown still serves requests.
     pub drain: Span,
-    /// Further arrivals for each request.
+    /// Retries allowed for each request, as a ratio.
     pub retry_ratio: f64,
-    /// And so many beyond that.
+    /// Number of retries allowed in each `retry_window` in addition to `retry_ratio`.
     pub retry_slack: f64,
-    /// In each span of this length.
+    /// Length of the window in which retries are counted against `retry_ratio` and `retry_slack`.
     pub retry_window: Span,
-    /// From an acknowledgement until it holds everywhere.
+    /// Time between the acknowledgement of a configuration and its being in force on all machines.
     pub edition_time: Span,
 }
 
+/// Checks rules that involve several fields or the text of a field.
 fn consistent(settings: &Settings) -> std::result::Result<(), ValidationError> {
-    let wrong = |message: String| {
+    let invalid = |message: String| {
         let mut error = ValidationError::new("settings");
         error.message = Some(message.into());
         Err(error)
     };
     let (first, last) = settings.port_range;
     if first == 0 || first > last {
-        return wrong(format!("port_range: found [{first},{last}], expected a first port up to the last"));
+        return invalid(format!("port_range: found [{first},{last}], expected a first port up to the last"));
     }
     for text in &settings.guarantees {
         if text.split_once('=').is_none() {
-            return wrong(format!("guarantees: found {text:?}, expected name=value"));
+            return invalid(format!("guarantees: found {text:?}, expected name=value"));
         }
     }
-    settings.guarantees().map(|_| ()).or_else(|e| wrong(e.to_string()))
+    settings.guarantees().map(|_| ()).or_else(|e| invalid(e.to_string()))
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     pub fn read(path: &Path) -> Result<Settings> {
         let text = std::fs::read_to_string(path).with_context(|| format!("read {}", path.display()))?;
         Settings::parse(&text).with_context(|| format!("check {}", path.display()))
     }
 
-    /// Reads and checks the text of a file.
+    /// Parses and validates the text of a settings file.
     pub fn parse(text: &str) -> Result<Settings> {
         let settings: Settings = toml::from_str(text)?;
         if let Err(errors) = settings.validate() {
@@ -180,19 +185,23 @@
         Ok(settings)
     }
 
-    /// The figures of the rules.
+    /// Parses the service guarantees. Unknown names are ignored.
     pub fn guarantees(&self) -> Result<Guarantees> {
         let text = |name: &str| {
-            self.guarantees.iter().filter_map(|g| g.split_once('=')).find(|(n, _)| *n == name).map(|(_, v)| v)
+            self.guarantees
+                .iter()
+                .filter_map(|entry| entry.split_once('='))
+                .find(|(n, _)| *n == name)
+                .map(|(_, v)| v)
         };
-        let time = |name: &str, untold: u64| match text(name) {
-            None => Ok(Span::from_millis(untold)),
-            Some(value) => span(value).with_context(|| format!("guarantees.{name}")),
+        let time = |name: &str, default_millis: u64| match text(name) {
+            None => Ok(Span::from_millis(default_millis)),
+            Some(value) => parse_span(value).with_context(|| format!("guarantees.{name}")),
         };
-        let figure = |name: &str, untold: f64| match text(name) {
-            None => Ok(untold),
+        let number = |name: &str, default: f64| match text(name) {
+            None => Ok(default),
             Some(value) => match value.parse::<f64>() {
-                Ok(figure) if figure.is_finite() && figure >= 0.0 => Ok(figure),
+                Ok(number) if number.is_finite() && number >= 0.0 => Ok(number),
                 _ => bail!("guarantees.{name}: found {value:?}, expected a number from 0"),
             },
         };
@@ -200,24 +209,25 @@
             key_window: time("key_window", 60_000)?,
             grace: time("grace", 6_000)?,
             drain: time("drain", 2_000)?,
-            retry_ratio: figure("retry_ratio", 0.2)?,
-            retry_slack: figure("retry_slack", 60.0)?,
+            retry_ratio: number("retry_ratio", 0.2)?,
+            retry_slack: number("retry_slack", 60.0)?,
             retry_window: time("retry_window", 10_000)?,
             edition_time: time("edition_time", 2_000)?,
         })
     }
 
-    /// Where processes of the mesh reach this one.
+    /// Address at which other mesh processes reach this one.
     pub fn mesh_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip_addr, self.port_range.0)
     }
 
-    /// Where this process listens for others of the mesh.
+    /// Address at which this process listens for other mesh processes.
     pub fn mesh_bind_address(&self) -> SocketAddr {
         SocketAddr::new(self.mesh_bind_addr.unwrap_or(self.ip_addr), self.port_range.0)
     }
 
-    /// Where processes of the mesh reach a machine that is named by another address of its own: ports are alike on all.
+    /// Address at which mesh processes reach the machine that has `address` as one of its addresses. All machines use the same
+    /// mesh port.
     pub fn mesh_address_of(&self, address: SocketAddr) -> SocketAddr {
         SocketAddr::new(address.ip(), self.port_range.0)
     }
--- a/mesh/route-config/src/lib.rs
+++ b/mesh/route-config/src/lib.rs
@@ -1,4 +1,5 @@
-//! The operator's configuration: [`model`] reads and checks it, [`table`] is what requests are routed by.
+//! The route configuration that operators submit: [`model`] parses and validates it, and [`table`] looks up the route of a
+//! request.
 
 pub mod model;
 pub mod table;
--- a/mesh/route-config/src/model.rs
+++ b/mesh/route-config/src/model.rs
@@ -1,4 +1,4 @@
-//! A configuration as operators send it, and what makes one invalid.
+//! The route configuration as operators submit it in JSON, and its validation. Field names are the keys in the JSON.
 
 use std::collections::HashSet;
 
@@ -7,36 +7,36 @@
 use sloeline_process_settings::span::Span;
 use validator::{Validate, ValidationError};
 
-/// Most bytes of a configuration.
-pub const MOST_BYTES: usize = 16 << 20;
-/// So far a target may lie above its route's time-out, in microseconds: a minute, which is too much.
-const TARGET_OVER: u64 = 60_000_000;
+/// Maximum size of a configuration in bytes.
+pub const MAX_CONFIG_BYTES: usize = 16 << 20;
+/// Limit in microseconds (one minute) below which a route's target time must exceed its timeout, if it exceeds it at all.
+const TARGET_OVER_TIMEOUT_LIMIT_US: u64 = 60_000_000;
 
-/// A whole configuration.
+/// A complete route configuration.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, Validate)]
 #[validate(schema(function = "consistent"))]
 pub struct Config {
-    /// Its version.
+    /// Version of the configuration; a higher version replaces a lower one.
     pub edition: Edition,
-    /// Bounds on what clients send.
+    /// Limits on the size and timing of client requests.
     #[serde(default)]
     pub size_limits: SizeLimits,
-    /// The routes, by host.
+    /// The routes, grouped by host.
     #[validate(nested)]
     pub gateways: Vec<Gateway>,
-    /// The services.
+    /// The services that routes send requests to.
     #[validate(nested)]
     pub depots: Vec<Service>,
 }
 
 impl Config {
-    /// How many routes there are.
-    pub fn routes(&self) -> usize {
+    /// Returns the number of routes of all hosts.
+    pub fn route_count(&self) -> usize {
         self.gateways.iter().map(|gateway| gateway.regulations.len()).sum()
     }
 }
 
-/// A version: eight hexadecimal digits.
+/// The version of a configuration, written as eight hexadecimal digits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Edition(pub u32);
 
@@ -71,17 +71,17 @@
     }
 }
 
-/// Bounds on what clients send.
+/// Limits on the size and timing of client requests.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct SizeLimits {
-    /// Bytes of a head.
+    /// Maximum size of a request head in bytes.
     pub header_bytes: u64,
-    /// Bytes of a body.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: u64,
-    /// How long a head may take.
+    /// Maximum time for receiving a request head.
     pub header: Span,
-    /// How long a connection may be idle.
+    /// Maximum time a connection may be idle.
     pub idle: Span,
 }
 
@@ -96,159 +96,163 @@
     }
 }
 
-/// The routes of a host.
+/// The routes of one host.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, Validate)]
 pub struct Gateway {
-    /// The host.
+    /// Host name in requests, without a port; compared without regard to case.
     #[validate(length(min = 1, max = 255, message = "station: expected a host of 1 to 255 bytes"))]
     pub station: String,
-    /// Its routes.
+    /// Routes of this host.
     #[validate(nested)]
     pub regulations: Vec<Route>,
 }
 
-/// What may be repeated of a route's requests.
+/// Which requests of a route may be retried, and how.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RouteKind {
-    /// Everything.
+    /// All requests may be retried.
     Safe,
-    /// Nothing.
+    /// No request may be retried once it may have reached an upstream.
     Unsafe,
-    /// Everything; answers are large.
+    /// All requests may be retried; responses are large.
     Download,
-    /// What has the same key runs once.
+    /// Requests carry a key, and requests with the same key are executed once.
     Tracked,
 }
 
-/// A route.
+/// A route: the requests it matches, and where and how they are sent.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, Validate)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route, for people.
     #[serde(default)]
     pub name: String,
-    /// What may be repeated.
+    /// Which requests may be retried, and how.
     pub route_kind: RouteKind,
-    /// Within this time an answer earns its full worth.
+    /// Target response time; a response within it has full value.
     pub target: Span,
-    /// Its rank, 0 the highest.
+    /// Priority of the route's requests; 0 is the highest.
     #[serde(default)]
     pub precedence: u32,
-    /// What it is found by.
+    /// Condition that a request must meet to take this route.
     #[validate(nested)]
     pub sort_by: Match,
-    /// Where its requests go.
+    /// Where the requests are sent.
     #[validate(nested)]
     pub dispatch: Dispatch,
 }
 
-/// What a route is found by.
+/// Condition that a request must meet to take a route.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, Validate)]
 pub struct Match {
-    /// The beginning of the path, from a slash to a slash.
-    #[validate(custom(function = "prefix"))]
+    /// Prefix of the request path. It starts and ends with a slash.
+    #[validate(custom(function = "validate_prefix"))]
     pub lane_prefix: String,
 }
 
-fn prefix(text: &str) -> std::result::Result<(), ValidationError> {
-    let whole = text.starts_with('/') && text.ends_with('/') && text.len() <= 4096;
-    if whole { Ok(()) } else { wrong(format!("lane_prefix: found {text:?}, expected one from / to /")) }
+/// Checks that a path prefix starts and ends with a slash.
+fn validate_prefix(text: &str) -> std::result::Result<(), ValidationError> {
+    let valid = text.starts_with('/') && text.ends_with('/') && text.len() <= 4096;
+    if valid { Ok(()) } else { invalid(format!("lane_prefix: found {text:?}, expected one from / to /")) }
 }
 
-/// Where requests go: to one service, or split among several.
+/// Where requests are sent: to one service, or split among several by weight.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, Validate)]
 pub struct Dispatch {
-    /// The only service.
+    /// Name of the only service; `None` if `splits` is given.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub line: Option<String>,
-    /// Several, by shares.
+    /// Services and their weights; empty if `line` is given.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[validate(length(max = 64, message = "splits: expected at most 64"))]
     pub splits: Vec<SplitPart>,
-    /// How long a request may be held.
+    /// Maximum time for answering a request, including retries.
     pub timeout: Span,
-    /// Upstreams that one request may be sent to.
-    #[serde(default = "one")]
+    /// Maximum number of upstreams that one request is sent to.
+    #[serde(default = "default_tries")]
     pub tries: u32,
 }
 
-fn one() -> u32 {
+/// Default of [`Dispatch::tries`].
+fn default_tries() -> u32 {
     1
 }
 
-/// A part of a split.
+/// One of the services that a route's requests are split among.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct SplitPart {
-    /// The service.
+    /// Name of the service.
     pub line: String,
-    /// Its weight.
+    /// Weight of the service relative to the other parts of the split.
     pub share: u32,
 }
 
-/// A service.
+/// A service: a group of upstreams that answer the same requests.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, Validate)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service, unique in the configuration.
     #[validate(length(min = 1, max = 255, message = "depots.name: expected 1 to 255 bytes"))]
     pub name: String,
-    /// The path that tells whether an upstream is well.
+    /// Request path of the upstreams' health check.
     #[serde(default)]
     pub health_path: String,
-    /// Connections that an upstream accepts.
+    /// Maximum number of connections that one upstream accepts.
     #[serde(default)]
     pub conn_limit: u32,
-    /// Its upstreams keep a record of keys of their own.
+    /// Whether the upstreams detect repeated keys of tracked requests by themselves.
     #[serde(default)]
     pub deduplicates: bool,
 }
 
-fn wrong(message: String) -> std::result::Result<(), ValidationError> {
+/// Returns a validation error with `message`.
+fn invalid(message: String) -> std::result::Result<(), ValidationError> {
     let mut error = ValidationError::new("config");
     error.message = Some(message.into());
     Err(error)
 }
 
 impl Dispatch {
-    /// The services and their weights.
+    /// Returns the services and their weights; a single service has weight 1.
     pub fn weighted_services(&self) -> Vec<(&str, u32)> {
         match &self.line {
             Some(line) => vec![(line.as_str(), 1)],
-            None => self.splits.iter().map(|s| (s.line.as_str(), s.share)).collect(),
+            None => self.splits.iter().map(|part| (part.line.as_str(), part.share)).collect(),
         }
     }
 }
 
+/// Checks rules that involve several fields.
 fn consistent(config: &Config) -> std::result::Result<(), ValidationError> {
-    let names: HashSet<&str> = config.depots.iter().map(|d| d.name.as_str()).collect();
+    let names: HashSet<&str> = config.depots.iter().map(|service| service.name.as_str()).collect();
     if names.len() != config.depots.len() {
-        return wrong("depots: two have the same name".to_owned());
+        return invalid("depots: two have the same name".to_owned());
     }
-    let mut places = HashSet::new();
+    let mut seen = HashSet::new();
     for gateway in &config.gateways {
         for route in &gateway.regulations {
             let place = format!("{}{}", gateway.station, route.sort_by.lane_prefix);
-            if !places.insert((gateway.station.to_ascii_lowercase(), route.sort_by.lane_prefix.as_str())) {
-                return wrong(format!("{place}: two routes have this host and prefix"));
+            if !seen.insert((gateway.station.to_ascii_lowercase(), route.sort_by.lane_prefix.as_str())) {
+                return invalid(format!("{place}: two routes have this host and prefix"));
             }
             let dispatch = &route.dispatch;
             if dispatch.line.is_some() != dispatch.splits.is_empty() {
-                return wrong(format!("{place}: dispatch: expected either line or splits"));
+                return invalid(format!("{place}: dispatch: expected either line or splits"));
             }
             let parts = dispatch.weighted_services();
             if let Some((name, _)) = parts.iter().find(|(name, _)| !names.contains(name)) {
-                return wrong(format!("{place}: line: found {name:?}, expected one of depots"));
+                return invalid(format!("{place}: line: found {name:?}, expected one of depots"));
             }
             if parts.iter().all(|(_, share)| *share == 0) {
-                return wrong(format!("{place}: splits: found no share above 0"));
+                return invalid(format!("{place}: splits: found no share above 0"));
             }
             if dispatch.timeout.0 == 0 {
-                return wrong(format!("{place}: timeout: found 0, expected more"));
+                return invalid(format!("{place}: timeout: found 0, expected more"));
             }
             if dispatch.tries == 0 {
-                return wrong(format!("{place}: tries: found 0, expected 1 or more"));
+                return invalid(format!("{place}: tries: found 0, expected 1 or more"));
             }
-            if route.target.0 >= dispatch.timeout.0.saturating_add(TARGET_OVER) {
-                return wrong(format!("{place}: target: expected less than a minute above the timeout"));
+            if route.target.0 >= dispatch.timeout.0.saturating_add(TARGET_OVER_TIMEOUT_LIMIT_US) {
+                return invalid(format!("{place}: target: expected less than a minute above the timeout"));
             }
         }
     }
@@ -256,10 +260,10 @@
 }
 
 impl Config {
-    /// Reads and checks a configuration. The error names the field, what was found and what was expected.
+    /// Parses and validates a configuration from JSON. Errors name the field, what was found and what was expected.
     pub fn parse(body: &[u8]) -> Result<Config> {
-        if body.len() > MOST_BYTES {
-            bail!("configuration: found {} bytes, expected at most {MOST_BYTES}", body.len());
+        if body.len() > MAX_CONFIG_BYTES {
+            bail!("configuration: found {} bytes, expected at most {MAX_CONFIG_BYTES}", body.len());
         }
         let config: Config = serde_json::from_slice(body).context("read the configuration")?;
         if let Err(errors) = config.validate() {
--- a/mesh/route-config/src/table.rs
+++ b/mesh/route-config/src/table.rs
@@ -1,27 +1,30 @@
-//! What requests are routed by: an immutable table made of one configuration.
+//! The routing table: an immutable index of the routes of one configuration.
 
 use std::collections::HashMap;
 
 use crate::model::{Config, Edition, Route, SizeLimits};
 
-/// The routes as of one configuration.
+/// The routes of one configuration, indexed by host and path prefix.
 #[derive(Debug)]
 pub struct Table {
     edition: Edition,
     limits: SizeLimits,
     routes: Vec<Route>,
-    /// For each host: which lengths prefixes have, longest first, and the routes by prefix.
+    /// The routes of each host, by host name in lower case.
     hosts: HashMap<String, Host>,
 }
 
+/// The routes of one host.
 #[derive(Debug, Default)]
 struct Host {
+    /// Lengths of all path prefixes, longest first, without duplicates.
     lengths: Vec<usize>,
+    /// Index of a route in [`Table::routes`], by path prefix.
     by_prefix: HashMap<String, usize>,
 }
 
 impl Table {
-    /// The table of a configuration.
+    /// Builds the table of a configuration.
     pub fn new(config: &Config) -> Table {
         let mut routes = Vec::new();
         let mut hosts: HashMap<String, Host> = HashMap::new();
@@ -41,22 +44,23 @@
         Table { edition: config.edition, limits: config.size_limits, routes, hosts }
     }
 
-    /// The version.
+    /// Version of the configuration that the table was built from.
     pub fn edition(&self) -> Edition {
         self.edition
     }
 
-    /// Bounds on what clients send.
+    /// Limits on the size and timing of client requests.
     pub fn limits(&self) -> SizeLimits {
         self.limits
     }
 
-    /// All routes.
+    /// All routes, in the order of the configuration.
     pub fn routes(&self) -> &[Route] {
         &self.routes
     }
 
-    /// The number of the route with the longest prefix that begins the path. A port in the host does not count.
+    /// Returns the index in [`Table::routes`] of the route whose prefix is the longest that `path` starts with. A port in
+    /// `host` is ignored.
     pub fn find(&self, host: &str, path: &str) -> Option<usize> {
         let host = match host.rsplit_once(':') {
             Some((name, port)) if port.bytes().all(|b| b.is_ascii_digit()) => name,
--- a/mesh/route-config/tests/configurations.rs
+++ b/mesh/route-config/tests/configurations.rs
@@ -1,4 +1,4 @@
-//! Configurations as operators send them: what is taken, what is refused and why, and what routes requests.
+//! Tests which configurations are accepted, the errors for invalid ones, and route lookup.
 
 use serde_json::{Value, json};
 use sloeline_route_config::model::{Config, Edition};
@@ -29,8 +29,8 @@
 }
 
 #[test]
-fn the_longest_prefix_of_its_host_finds_the_route() {
-    let parsed = parse(&config()).expect("a good configuration");
+fn a_request_takes_the_route_with_the_longest_matching_prefix() {
+    let parsed = parse(&config()).expect("a valid configuration");
     assert_eq!(parsed.edition, Edition(12));
     let table = Table::new(&parsed);
     let line = |host: &str, path: &str| {
@@ -44,40 +44,44 @@
     {
         assert_eq!(line(host, path), None, "{host}{path}");
     }
-    // A path is cut between characters only.
+    // A prefix length may fall inside a multi-byte character of the path.
     assert_eq!(line("a.example", "/xé").as_deref(), None);
 }
 
 #[test]
-fn each_kind_of_invalid_configuration_is_refused_with_its_field() {
+fn each_kind_of_invalid_configuration_is_refused_with_the_field_name() {
     type Case<'a> = (&'a str, &'a dyn Fn(&mut Value), &'a str);
     let cases: [Case<'_>; 13] = [
         (
-            "a service that is not known",
+            "unknown service",
             &|c| c["gateways"][0]["regulations"][0]["dispatch"]["line"] = json!("no"),
             "line",
         ),
         (
-            "two routes of a place",
+            "two routes with the same host and prefix",
             &|c| c["gateways"][0]["regulations"][1] = route("/x/", "two"),
             "two routes",
         ),
         (
-            "no time-out",
+            "no timeout",
             &|c| c["gateways"][0]["regulations"][0]["dispatch"]["timeout"] = json!("0ms"),
             "timeout",
         ),
-        ("no host", &|c| c["gateways"][0]["station"] = json!(""), "station"),
-        ("an odd kind", &|c| c["gateways"][0]["regulations"][0]["route_kind"] = json!("maybe"), "maybe"),
+        ("empty host", &|c| c["gateways"][0]["station"] = json!(""), "station"),
         (
-            "a target far over the time-out",
+            "unknown route kind",
+            &|c| c["gateways"][0]["regulations"][0]["route_kind"] = json!("maybe"),
+            "maybe",
+        ),
+        (
+            "target more than a minute above the timeout",
             &|c| c["gateways"][0]["regulations"][0]["target"] = json!("62s"),
             "target",
         ),
-        ("an odd version", &|c| c["edition"] = json!("12"), "edition"),
-        ("a signed version", &|c| c["edition"] = json!("+000000c"), "edition"),
+        ("version without eight digits", &|c| c["edition"] = json!("12"), "edition"),
+        ("version with a sign", &|c| c["edition"] = json!("+000000c"), "edition"),
         (
-            "no weight",
+            "no weight above 0",
             &|c| {
                 c["gateways"][1]["regulations"][0]["dispatch"]["splits"] =
                     json!([{"line": "one", "share": 0}])
@@ -85,30 +89,30 @@
             "share",
         ),
         (
-            "nowhere to go",
+            "neither service nor splits",
             &|c| c["gateways"][1]["regulations"][0]["dispatch"]["splits"] = json!([]),
             "splits",
         ),
         (
-            "a prefix without its slash",
+            "prefix without a final slash",
             &|c| c["gateways"][0]["regulations"][0]["sort_by"]["lane_prefix"] = json!("/x"),
             "lane_prefix",
         ),
-        ("a time without its unit", &|c| c["gateways"][0]["regulations"][0]["target"] = json!("300"), "300"),
-        ("two services of a name", &|c| c["depots"][1]["name"] = json!("one"), "depots"),
+        ("duration without a unit", &|c| c["gateways"][0]["regulations"][0]["target"] = json!("300"), "300"),
+        ("two services with the same name", &|c| c["depots"][1]["name"] = json!("one"), "depots"),
     ];
-    for (what, change, field) in cases {
+    for (case, change, field) in cases {
         let mut changed = config();
         change(&mut changed);
-        let why = format!("{:#}", parse(&changed).expect_err(what));
-        assert!(why.contains(field), "{what}: {why:?} does not name {field}");
+        let why = format!("{:#}", parse(&changed).expect_err(case));
+        assert!(why.contains(field), "{case}: {why:?} does not name {field}");
     }
     let whole = config().to_string();
     for cut in 0..whole.len() {
         assert!(Config::parse(&whole.as_bytes()[..cut]).is_err(), "cut at {cut}");
     }
     assert!(Config::parse(format!("{whole}{whole}").as_bytes()).is_err());
-    // A target a little less than a minute above its time-out is odd, and taken.
+    // A target of slightly less than a minute above the timeout is accepted.
     let mut edge = config();
     edge["gateways"][0]["regulations"][0]["target"] = json!("61.999s");
     parse(&edge).expect("just under the bound");
--- a/mesh/rpc/src/serve.rs
+++ b/mesh/rpc/src/serve.rs
@@ -68,7 +68,7 @@
                         let (handling, sender) = (handler(request), sender.clone());
                         metrics::SERVED_CALLS.increment();
                         spawn_local(async move {
-                            let _open = metrics::SERVED_CALLS_OPEN.hold();
+                            let _open = metrics::SERVED_CALLS_OPEN.count_while_held();
                             let Some(response) = handling.await.filter(|_| frame.kind == FrameKind::Request)
                             else {
                                 return;
