--- a/mesh/admin-http/src/control.rs
+++ b/mesh/admin-http/src/control.rs
@@ -109,7 +109,7 @@
     let body = match timeout(BODY_TIMEOUT, Limited::new(body, max_body_bytes).collect()).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(_)) => {
-            let message = format!("the body is incomplete or longer than {max_body_bytes} bytes");
+            let message = format!("the body broke off or is longer than {max_body_bytes} bytes");
             return Err(error_response(StatusCode::PAYLOAD_TOO_LARGE, &message));
         }
         Err(_) => return Err(error_response(StatusCode::REQUEST_TIMEOUT, "the body took too long")),
--- a/mesh/config-transfer/src/fetch.rs
+++ b/mesh/config-transfer/src/fetch.rs
@@ -31,6 +31,7 @@
 
 /// A transfer in progress.
 struct ActiveTransfer {
+    /// Identifies the transfer and its length.
     transfer: Transfer,
     /// Body of the base configuration. It is kept until the transfer ends, even if a newer configuration arrives meanwhile.
     base_body: Bytes,
--- a/mesh/control-plane/src/commands.rs
+++ b/mesh/control-plane/src/commands.rs
@@ -1,4 +1,5 @@
-//! What operators type: `status` of a running core machine, and `restore` of a core that has lost a majority of its disks.
+//! Subcommands for operators: `status` shows the state of a running core machine, and `restore` rebuilds a core that has lost
+//! a majority of its disks.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -16,69 +17,72 @@
 use sloeline_storage::Store;
 use tokio::task::LocalSet;
 
-/// How long a machine is waited for.
-const ANSWER_WITHIN: Duration = Duration::from_secs(2);
-/// Exit code of `status` when the machine answers and is out of contact with a majority.
-const OUT_OF_CONTACT: u8 = 2;
+/// Maximum time for a machine to answer the status request.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
+/// Exit code of `status` if the machine answers but is out of contact with a majority.
+const EXIT_OUT_OF_CONTACT: u8 = 2;
 
-/// All of them.
-pub fn all() -> Vec<Subcommand> {
-    let at = Arg::new("at")
-        .long("at")
-        .value_name("ADDRESS")
-        .value_parser(value_parser!(SocketAddr))
-        .help("Where the machine is reached by the others: its address and the first port of port_range");
-    let json = Arg::new("json").long("json").action(ArgAction::SetTrue).help("As JSON, in one line");
+/// Returns the subcommands of this program.
+pub fn subcommands() -> Vec<Subcommand> {
+    let address =
+        Arg::new("at").long("at").value_name("ADDRESS").value_parser(value_parser!(SocketAddr)).help(
+            "Address at which other machines reach this one: its IP address and the first port of port_range",
+        );
+    let json =
+        Arg::new("json").long("json").action(ArgAction::SetTrue).help("Print the status as one line of JSON");
     let status = Command::new("status")
         .about("Voters, learners, view and lease of a core machine; exit code 2 when it is out of contact")
-        .arg(at)
+        .arg(address)
         .arg(json);
-    let yes = Arg::new("give-up-the-others")
+    let confirm = Arg::new("give-up-the-others")
         .long("give-up-the-others")
         .action(ArgAction::SetTrue)
         .required(true)
-        .help("What only the other disks held is lost; no other voter may be running");
+        .help("Confirms that data only on the other disks is lost; no other voter may be running");
     let restore = Command::new("restore")
-        .about("Makes this machine's disk the whole core, when a majority of disks is gone for good")
+        .about("Makes this machine's disk the only one of the core, after a majority of disks is lost for good")
         .long_about(
-            "Makes this machine's disk the whole core, when a majority of disks is gone for good. Run it on the machine \
-             whose `status` showed the highest position, while the process is stopped; then start it, and start the \
-             others with empty disks. Lost is what was acknowledged and reached only the other disks.",
+            "Makes this machine's disk the only one of the core, after a majority of disks is lost for good. Run it on the \
+             machine whose `status` showed the highest position, while its process is stopped. Then start the process, \
+             and start the other machines with empty disks. Data that was acknowledged but is only on the other disks \
+             is lost.",
         )
-        .arg(yes);
+        .arg(confirm);
     vec![
         Subcommand { command: status, execute: print_status },
         Subcommand { command: restore, execute: |settings, _| restore_from_disk(settings) },
     ]
 }
 
+/// Prints the status of the machine that is named by `--at`, or else by the settings file.
 fn print_status(path: &Path, matches: &ArgMatches) -> Result<ExitCode> {
-    let at = match matches.get_one::<SocketAddr>("at") {
-        Some(at) => *at,
+    let address = match matches.get_one::<SocketAddr>("at") {
+        Some(address) => *address,
         None => Settings::read(path)?.mesh_address(),
     };
-    let status = ask_status(at)?;
+    let status = request_status(address)?;
     if matches.get_flag("json") {
         println!("{status}");
     } else {
         print!("{}", format_status(&status));
     }
     let in_contact = status["in_contact"].as_bool().unwrap_or(false);
-    Ok(if in_contact { ExitCode::SUCCESS } else { ExitCode::from(OUT_OF_CONTACT) })
+    Ok(if in_contact { ExitCode::SUCCESS } else { ExitCode::from(EXIT_OUT_OF_CONTACT) })
 }
 
-fn ask_status(at: SocketAddr) -> Result<Value> {
+/// Requests the status of a core machine over RPC.
+fn request_status(address: SocketAddr) -> Result<Value> {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().context("start the runtime")?;
     LocalSet::new().block_on(&runtime, async move {
-        match Link::new(at).call(&RpcRequest::Status, ANSWER_WITHIN).await? {
+        match Link::new(address).call(&RpcRequest::Status, STATUS_TIMEOUT).await? {
             RpcResponse::Status(status) => serde_json::from_slice(&status).context("read the status"),
-            _ => bail!("status of {at}: found an answer to another question"),
+            _ => bail!("status of {address}: found a response of another kind"),
         }
     })
 }
 
-/// The status as lines for people.
+/// Formats a JSON status as lines of text for operators.
 pub fn format_status(status: &Value) -> String {
     let plain = |value: &Value| match value {
         Value::String(text) => text.clone(),
@@ -106,15 +110,15 @@
     if !status["outgoing_voter_set"].is_null() {
         lines.push(format!("outgoing       {}", names(&status["outgoing_voter_set"]["replicas"])));
     }
-    for (what, list) in [("voter", &status["voters_heard"]), ("learner", &status["learners_heard"])] {
-        for other in list.as_array().into_iter().flatten() {
+    for (role, list) in [("voter", &status["voters_heard"]), ("learner", &status["learners_heard"])] {
+        for machine in list.as_array().into_iter().flatten() {
             lines.push(format!(
-                "{what:<8}{:>22}  lacks {}, caught up {}, in contact {}, leaving {}",
-                plain(&other["replica"]["address"]),
-                plain(&other["lacks"]),
-                plain(&other["caught_up"]),
-                plain(&other["in_contact"]),
-                plain(&other["leaving"])
+                "{role:<8}{:>22}  lacks {}, caught up {}, in contact {}, leaving {}",
+                plain(&machine["replica"]["address"]),
+                plain(&machine["lacks"]),
+                plain(&machine["caught_up"]),
+                plain(&machine["in_contact"]),
+                plain(&machine["leaving"])
             ));
         }
     }
@@ -128,7 +132,7 @@
     lines.join("\n") + "\n"
 }
 
-/// Makes the store that the settings name the whole core. Fails without a store, or on one that does not open.
+/// Makes the disk named by the settings the only voter of the core. Fails if there is no store or it does not open.
 pub fn restore_from_disk(path: &Path) -> Result<ExitCode> {
     let settings = Settings::read(path)?;
     let folder = settings.data_path.as_deref().context("data_path: found nothing, expected a folder")?;
@@ -140,8 +144,8 @@
     if rows.digest() != durable.digest {
         bail!("restore: the rows in {} are not those that were written", folder.display());
     }
-    let disk = crate::program::draw_disk()?;
-    let restored = durable.restored(settings.mesh_address(), disk);
+    let disk_id = crate::program::random_disk_id()?;
+    let restored = durable.restored(settings.mesh_address(), disk_id);
     store.write(&[Write { token: 0, durable: restored, rows: Vec::new(), replace_all: false }])?;
     let position = durable.position.sequence;
     println!("restored: {} is the whole core, at position {position}", settings.mesh_address());
--- a/mesh/control-plane/src/disk.rs
+++ b/mesh/control-plane/src/disk.rs
@@ -1,4 +1,5 @@
-//! The disk in a thread of its own: what waits while it syncs goes into the next transaction together.
+//! Disk writes in a separate thread. All writes that arrive while a transaction is synced are combined in the next
+//! transaction.
 
 use std::path::PathBuf;
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -10,82 +11,88 @@
 use sloeline_storage::Store;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-/// Most writes of one transaction.
-const MOST_TOGETHER: usize = 1024;
-/// Pause between tries to open a disk that takes no writes.
-const PAUSE: Duration = Duration::from_millis(250);
+/// Maximum number of writes in one transaction.
+const MAX_BATCH_WRITES: usize = 1024;
+/// Pause between attempts to reopen a store whose writes fail.
+const REOPEN_PAUSE: Duration = Duration::from_millis(250);
 
-/// What the disk tells.
+/// An event that the disk thread reports.
 pub enum DiskEvent {
-    /// All up to this write is synced.
-    Written(u64),
-    /// It takes no writes. What was not told as written may be there or not.
+    /// All writes up to the one with this token are synced.
+    Synced(u64),
+    /// Writing fails, for the given reason. Writes not reported as synced may or may not be on disk.
     Failed(String),
-    /// It takes writes again; this is what it holds.
+    /// The store was opened again and accepts writes. Contains the state read from it.
     Reopened(Box<DurableState>, Rows),
 }
 
-/// A write for the store as it was opened for the how-manieth time: what was meant for an earlier one is dropped.
-pub struct Order {
-    /// Counts from 0.
-    pub opened: u64,
-    /// The write.
+/// A write for one opening of the store. Writes for an earlier opening are dropped.
+pub struct DiskWrite {
+    /// How often the store was reopened before this write, counted from 0.
+    pub generation: u64,
+    /// The write to execute.
     pub write: Write,
 }
 
-/// The near end of the thread.
+/// Handle to the disk thread.
 pub struct Disk {
-    writes: Sender<Order>,
+    /// Sends writes to the disk thread.
+    writes: Sender<DiskWrite>,
+    /// Receives the events of the disk thread.
     events: UnboundedReceiver<DiskEvent>,
 }
 
 impl Disk {
-    /// Starts the thread with an open store.
+    /// Starts the disk thread with an open store in `folder`.
     pub fn start(store: Store, folder: PathBuf) -> Result<Disk> {
-        let (writes, come) = channel();
-        let (tell, events) = unbounded_channel();
+        let (writes, write_receiver) = channel();
+        let (event_sender, events) = unbounded_channel();
         thread::Builder::new()
             .name("disk".to_owned())
             .stack_size(512 << 10)
-            .spawn(move || work(store, &folder, &come, &tell))
-            .context("start the thread of the disk")?;
+            .spawn(move || run_disk_thread(store, &folder, &write_receiver, &event_sender))
+            .context("start the disk thread")?;
         Ok(Disk { writes, events })
     }
 
-    /// The two ends apart.
-    pub fn split(self) -> (Sender<Order>, UnboundedReceiver<DiskEvent>) {
+    /// Returns the sender of writes and the receiver of events.
+    pub fn split(self) -> (Sender<DiskWrite>, UnboundedReceiver<DiskEvent>) {
         (self.writes, self.events)
     }
 }
 
-fn work(
+/// Executes writes until the sender of writes or the receiver of events is dropped.
+fn run_disk_thread(
     mut store: Store,
     folder: &std::path::Path,
-    come: &Receiver<Order>,
-    tell: &UnboundedSender<DiskEvent>,
+    writes: &Receiver<DiskWrite>,
+    events: &UnboundedSender<DiskEvent>,
 ) {
-    let mut opened = 0;
-    while let Ok(first) = come.recv() {
-        let orders = std::iter::once(first).chain(come.try_iter().take(MOST_TOGETHER - 1));
-        let together: Vec<Write> = orders.filter(|o| o.opened == opened).map(|o| o.write).collect();
-        let Some(last) = together.last().map(|w| w.token) else { continue };
-        let sent = match store.write(&together) {
-            Ok(()) => tell.send(DiskEvent::Written(last)),
-            Err(why) => {
-                let _ = tell.send(DiskEvent::Failed(format!("{why:#}")));
-                // A store that has failed once is not to be trusted: open another, and tell what is really there.
+    let mut generation = 0;
+    while let Ok(first) = writes.recv() {
+        let received = std::iter::once(first).chain(writes.try_iter().take(MAX_BATCH_WRITES - 1));
+        let batch: Vec<Write> = received
+            .filter(|disk_write| disk_write.generation == generation)
+            .map(|disk_write| disk_write.write)
+            .collect();
+        let Some(last) = batch.last().map(|write| write.token) else { continue };
+        let sent = match store.write(&batch) {
+            Ok(()) => events.send(DiskEvent::Synced(last)),
+            Err(error) => {
+                let _ = events.send(DiskEvent::Failed(format!("{error:#}")));
+                // After a failed write the state of the store is unknown. Reopen it and report what is on disk.
                 drop(store);
-                let (again, durable, rows) = loop {
-                    thread::sleep(PAUSE);
-                    if let Ok((again, durable, rows)) = Store::open(folder)
-                        && again.write(&[empty(&durable)]).is_ok()
+                let (reopened, durable, rows) = loop {
+                    thread::sleep(REOPEN_PAUSE);
+                    if let Ok((reopened, durable, rows)) = Store::open(folder)
+                        && reopened.write(&[empty_write(&durable)]).is_ok()
                     {
-                        break (again, durable, rows);
+                        break (reopened, durable, rows);
                     }
                 };
-                store = again;
-                opened += 1;
-                tell.send(DiskEvent::Reopened(Box::new(durable), rows.into_iter().collect()))
+                store = reopened;
+                generation += 1;
+                events.send(DiskEvent::Reopened(Box::new(durable), rows.into_iter().collect()))
             }
         };
         if sent.is_err() {
@@ -94,7 +101,7 @@
     }
 }
 
-/// A write that changes nothing: it shows that the disk takes writes.
-fn empty(durable: &DurableState) -> Write {
+/// Returns a write that changes nothing, to test whether the disk accepts writes.
+fn empty_write(durable: &DurableState) -> Write {
     Write { token: 0, durable: durable.clone(), rows: Vec::new(), replace_all: false }
 }
--- a/mesh/control-plane/src/lib.rs
+++ b/mesh/control-plane/src/lib.rs
@@ -1,6 +1,8 @@
-//! The control plane: core machines keep the configuration and the keyed operations in a chain, and know who exists.
-//! [`tables`] is the state, without I/O; [`core`] drives the chain; [`operator`] takes operators' calls; [`status`] tells
-//! how a machine is, and [`commands`] are what operators type.
+//! The control plane. Core machines store the configuration and the keyed operations in a replicated chain, and keep track of
+//! all mesh processes.
+//!
+//! [`tables`] is the replicated state and does no I/O; [`core`] runs the chain; [`operator`] answers calls of operators;
+//! [`status`] reports the state of a machine; and [`commands`] implements the subcommands for operators.
 
 pub mod commands;
 pub mod core;
--- a/mesh/control-plane/src/operator.rs
+++ b/mesh/control-plane/src/operator.rs
@@ -1,4 +1,4 @@
-//! Operators' calls: a configuration is taken, or read.
+//! Calls of operators: replacing and reading the configuration.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,19 +15,20 @@
 use crate::core::Core;
 use crate::tables::{Change, ChangeResult};
 
-/// How long a change may take. Callers go elsewhere after a second of silence; whoever hears nothing clear asks again.
-const CHANGE_WITHIN: Duration = Duration::from_millis(900);
-/// How much longer for each route.
-const CHANGE_PER_ROUTE: Duration = Duration::from_millis(3);
-/// How long a read may take.
-const READ_WITHIN: Duration = Duration::from_millis(900);
-/// How long a machine out of contact waits for a majority before it sends the caller elsewhere.
-const CONTACT_WITHIN: Duration = Duration::from_millis(300);
-/// When a caller is to come again that no machine can serve now, in seconds.
-const COME_AGAIN: &str = "0.25";
+/// Base timeout for replacing the configuration. Callers try another machine after one second without a response, and repeat
+/// calls whose result is unknown.
+const REPLACE_TIMEOUT: Duration = Duration::from_millis(900);
+/// Addition to [`REPLACE_TIMEOUT`] for each route of the configuration.
+const REPLACE_TIMEOUT_PER_ROUTE: Duration = Duration::from_millis(3);
+/// Timeout for reading the configuration.
+const READ_TIMEOUT: Duration = Duration::from_millis(900);
+/// How long a machine without contact to a majority waits for contact before it redirects the caller.
+const CONTACT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Value of `retry-after` in seconds, for callers that no machine can serve at the moment.
+const RETRY_AFTER_SECONDS: &str = "0.25";
 
-/// Answers a call.
-pub async fn answer(core: Rc<Core>, dock: SocketAddr, call: Call) -> ControlResponse {
+/// Answers a call of an operator. `control_addr` is the address at which this machine accepts such calls.
+pub async fn answer(core: Rc<Core>, control_addr: SocketAddr, call: Call) -> ControlResponse {
     if call.path != "/-/rpc" {
         return error_response(
             StatusCode::NOT_FOUND,
@@ -41,71 +42,77 @@
         );
     }
     match call.name.as_deref() {
-        Some("config.replace") => replace(&core, dock, call.body).await,
-        Some("config.read") => read(&core, dock).await,
+        Some("config.replace") => replace(&core, control_addr, call.body).await,
+        Some("config.read") => read(&core, control_addr).await,
         other => {
             let found = other.unwrap_or("nothing");
-            let why = format!("call: found {found:?}, expected config.replace or config.read");
-            error_response(StatusCode::NOT_FOUND, &why)
+            let message = format!("call: found {found:?}, expected config.replace or config.read");
+            error_response(StatusCode::NOT_FOUND, &message)
         }
     }
 }
 
-/// Out of contact with a majority: another machine that has contact, or when to come again. Nothing has happened.
-fn elsewhere(core: &Core, dock: SocketAddr, call: &str) -> ControlResponse {
-    // Ports are alike on all core machines.
+/// Refuses a call because this machine is out of contact with a majority. Redirects the caller to a machine in contact if one
+/// is known, else tells it when to try again. The call has had no effect.
+fn redirect(core: &Core, control_addr: SocketAddr, call: &str) -> ControlResponse {
+    // All core machines use the same control port.
     if let Some(peer) = core.peer_in_contact() {
-        let to = format!("http://{}/-/rpc?call={call}", SocketAddr::new(peer.ip(), dock.port()));
-        if let Ok(location) = HeaderValue::from_str(&to) {
-            let mut answer = text_response(StatusCode::TEMPORARY_REDIRECT, "out of contact with a majority");
-            answer.headers_mut().insert(LOCATION, location);
-            return answer;
+        let target = format!("http://{}/-/rpc?call={call}", SocketAddr::new(peer.ip(), control_addr.port()));
+        if let Ok(location) = HeaderValue::from_str(&target) {
+            let mut response =
+                text_response(StatusCode::TEMPORARY_REDIRECT, "out of contact with a majority");
+            response.headers_mut().insert(LOCATION, location);
+            return response;
         }
     }
-    let mut answer = error_response(StatusCode::SERVICE_UNAVAILABLE, "chain: out of contact with a majority");
-    answer.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static(COME_AGAIN));
-    answer
+    let mut response =
+        error_response(StatusCode::SERVICE_UNAVAILABLE, "chain: out of contact with a majority");
+    response.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static(RETRY_AFTER_SECONDS));
+    response
 }
 
-async fn replace(core: &Core, dock: SocketAddr, body: Bytes) -> ControlResponse {
+/// Replaces the configuration with the one in `body`.
+async fn replace(core: &Core, control_addr: SocketAddr, body: Bytes) -> ControlResponse {
     let config = match model::Config::parse(&body) {
         Ok(config) => config,
-        Err(why) => {
-            let why = format!("{why:#}");
-            info!(target: "operator", "Refused a configuration: {why}.");
-            return error_response(StatusCode::BAD_REQUEST, &why);
+        Err(error) => {
+            let message = format!("{error:#}");
+            info!(target: "operator", "Refused a configuration: {message}.");
+            return error_response(StatusCode::BAD_REQUEST, &message);
         }
     };
-    if !core.wait_for_contact(CONTACT_WITHIN).await {
-        return elsewhere(core, dock, "config.replace");
+    if !core.wait_for_contact(CONTACT_TIMEOUT).await {
+        return redirect(core, control_addr, "config.replace");
     }
     let edition = config.edition.0;
-    let within = CHANGE_WITHIN + CHANGE_PER_ROUTE * config.route_count() as u32;
-    match core.change(&Change::Config(Config { edition, body }), within).await {
-        Ok(ChangeResult::Taken { holds }) => {
-            let body = serde_json::json!({ "edition": format!("{holds:08x}") });
+    let timeout = REPLACE_TIMEOUT + REPLACE_TIMEOUT_PER_ROUTE * config.route_count() as u32;
+    match core.change(&Change::Config(Config { edition, body }), timeout).await {
+        Ok(ChangeResult::Accepted { version }) => {
+            let body = serde_json::json!({ "edition": format!("{version:08x}") });
             json_response(StatusCode::OK, body.to_string())
         }
-        Ok(ChangeResult::Conflict { holds }) => {
-            let why =
-                format!("edition: found {holds:08x} with other content than is held, expected a higher one");
-            info!(target: "operator", "Refused a configuration: {why}.");
-            error_response(StatusCode::CONFLICT, &why)
+        Ok(ChangeResult::Conflict { version }) => {
+            let message = format!(
+                "edition: found {version:08x} with other content than is held, expected a higher one"
+            );
+            info!(target: "operator", "Refused a configuration: {message}.");
+            error_response(StatusCode::CONFLICT, &message)
         }
         Ok(_) => error_response(StatusCode::INTERNAL_SERVER_ERROR, "chain: an answer to another question"),
-        // Perhaps taken, perhaps not: no promise.
-        Err(why) => error_response(StatusCode::GATEWAY_TIMEOUT, &format!("{why:#}")),
+        // The configuration may or may not come into force.
+        Err(error) => error_response(StatusCode::GATEWAY_TIMEOUT, &format!("{error:#}")),
     }
 }
 
-async fn read(core: &Core, dock: SocketAddr) -> ControlResponse {
-    if !core.wait_for_contact(CONTACT_WITHIN).await {
-        return elsewhere(core, dock, "config.read");
+/// Returns the configuration in force.
+async fn read(core: &Core, control_addr: SocketAddr) -> ControlResponse {
+    if !core.wait_for_contact(CONTACT_TIMEOUT).await {
+        return redirect(core, control_addr, "config.read");
     }
-    match core.change(&Change::Read, READ_WITHIN).await {
+    match core.change(&Change::Read, READ_TIMEOUT).await {
         Ok(ChangeResult::Config(Some(config))) => json_response(StatusCode::OK, config.body),
         Ok(ChangeResult::Config(None)) => error_response(StatusCode::NOT_FOUND, "no configuration yet"),
         Ok(_) => text_response(StatusCode::INTERNAL_SERVER_ERROR, "chain: an answer to another question"),
-        Err(why) => error_response(StatusCode::GATEWAY_TIMEOUT, &format!("{why:#}")),
+        Err(error) => error_response(StatusCode::GATEWAY_TIMEOUT, &format!("{error:#}")),
     }
 }
--- a/mesh/control-plane/src/status.rs
+++ b/mesh/control-plane/src/status.rs
@@ -1,4 +1,4 @@
-//! How a core machine is, for operators.
+//! The status of a core machine for operators, as JSON.
 
 use serde_json::{Value, json};
 use sloeline_chain_replication::{Heartbeat, Node, Replica, VoterSet};
@@ -6,18 +6,24 @@
 use crate::core::Core;
 use crate::tables::State;
 
-/// The status of this machine and what it hears of the others.
+/// Returns the status of this machine, and what it knows of other core machines and of the balancers that pull from it.
 pub fn status(core: &Core) -> Value {
     let balancer = |(name, edition): (String, Option<u32>)| json!({ "name": name, "configuration": edition.map(|edition| format!("{edition:08x}")) });
-    let balancers: Vec<Value> = core.followers.lately().into_iter().map(balancer).collect();
-    core.look(|node, now| {
+    let balancers: Vec<Value> = core.followers.recent().into_iter().map(balancer).collect();
+    core.inspect(|node, now| {
         let view = node.known_view();
         let heartbeats = node.heartbeats();
         let is_voter = |replica: &Replica| view.is_some_and(|view| view.voters.contains(replica));
-        let learners: Vec<Value> =
-            heartbeats.iter().filter(|h| !is_voter(&h.replica)).map(|h| other(node, h)).collect();
-        let voters: Vec<Value> =
-            heartbeats.iter().filter(|h| is_voter(&h.replica)).map(|h| other(node, h)).collect();
+        let learners: Vec<Value> = heartbeats
+            .iter()
+            .filter(|heartbeat| !is_voter(&heartbeat.replica))
+            .map(|heartbeat| machine(node, heartbeat))
+            .collect();
+        let voters: Vec<Value> = heartbeats
+            .iter()
+            .filter(|heartbeat| is_voter(&heartbeat.replica))
+            .map(|heartbeat| machine(node, heartbeat))
+            .collect();
         json!({
             "replica": replica(&node.replica()),
             "view": view.map(|view| view.number.round),
@@ -39,15 +45,18 @@
     })
 }
 
+/// Returns the address and the disk number of a replica.
 fn replica(replica: &Replica) -> Value {
     json!({ "address": replica.peer.to_string(), "disk": format!("{:016x}", replica.disk) })
 }
 
+/// Returns the number and the replicas of a voter set.
 fn voter_set(voters: &VoterSet) -> Value {
     json!({ "number": voters.number, "replicas": voters.replicas.iter().map(replica).collect::<Vec<_>>() })
 }
 
-fn other(node: &Node<State>, heartbeat: &Heartbeat) -> Value {
+/// Returns the state of another core machine according to its last heartbeat.
+fn machine(node: &Node<State>, heartbeat: &Heartbeat) -> Value {
     json!({
         "replica": replica(&heartbeat.replica),
         "active": heartbeat.active,
--- a/mesh/control-plane/src/tables.rs
+++ b/mesh/control-plane/src/tables.rs
@@ -1,4 +1,4 @@
-//! The state that the chain keeps: the newest configuration and the keyed operations.
+//! The state that the chain replicates: the newest configuration and the claims of keyed operations.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use serde::{Deserialize, Serialize};
@@ -6,101 +6,116 @@
 use sloeline_discovery::Config;
 use sloeline_idempotency::{Claim, ClaimOutcome, ClaimUpdate, Claims};
 
-/// A key is kept so much longer than its window, in milliseconds: its first try was sent before it was claimed, and the
-/// head's time is not the clients'.
-const KEPT_LONGER: u64 = 10_000;
-const CONFIG: &[u8] = b"c";
-const KEY: u8 = b'k';
+/// Time in milliseconds for which a key is kept beyond its window. The client sent the first try before the key was claimed,
+/// and the clock of the chain's head may differ from the clients' clocks.
+const KEY_WINDOW_MARGIN_MS: u64 = 10_000;
+/// Key of the row that holds the configuration.
+const CONFIG_ROW: &[u8] = b"c";
+/// First byte of the keys of rows that hold claims; the key of the operation follows.
+const CLAIM_ROW_PREFIX: u8 = b'k';
 
-/// An update of the state.
+/// A change of the replicated state, or a read ordered with the changes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
-    /// A configuration that is valid. The highest version holds.
+    /// Replaces the configuration with a valid one, unless the current one has a higher version.
     Config(Config),
-    /// Of a keyed operation.
+    /// Claims or releases the key of an operation.
     Key(ClaimUpdate),
-    /// Nothing: its result is the configuration that holds.
+    /// Reads the configuration and changes nothing.
     Read,
 }
 
 impl Change {
-    /// As the chain carries it.
+    /// Returns the change encoded as MessagePack, as an update of the chain.
     pub fn encoded(&self) -> Bytes {
-        // It is made of plain values only, which are never refused.
+        // Encoding cannot fail, because a change contains only integers, strings and bytes.
         rmp_serde::to_vec(self).unwrap_or_default().into()
     }
 }
 
-/// What came of it.
+/// The result of a [`Change`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeResult {
-    /// The configuration is taken, or a higher one holds.
-    Taken {
-        /// The version that holds.
-        holds: u32,
+    /// The configuration was accepted, or one with a higher version is in force.
+    #[serde(rename = "Taken")]
+    Accepted {
+        /// Version of the configuration in force.
+        #[serde(rename = "holds")]
+        version: u32,
     },
-    /// Another content holds under this version.
+    /// The configuration was refused, because one with the same version and other content is in force.
     Conflict {
-        /// The version.
-        holds: u32,
+        /// Version of the configuration in force.
+        #[serde(rename = "holds")]
+        version: u32,
     },
-    /// Of a keyed operation.
+    /// The result of claiming or releasing a key.
     Key(ClaimOutcome),
-    /// The configuration that holds.
+    /// The configuration in force, if there is one.
     Config(Option<Config>),
-    /// It could not be read.
-    Unknown,
+    /// The change could not be decoded and had no effect.
+    #[serde(rename = "Unknown")]
+    Undecodable,
 }
 
-/// All of it.
+/// The replicated state: the newest configuration and the claims of keyed operations.
 pub struct State {
+    /// The newest configuration, if there is one.
     config: Option<Config>,
+    /// The claims of keyed operations.
     keys: Claims,
 }
 
 impl State {
-    /// Nothing yet; keys are remembered for this window, in milliseconds.
-    pub fn new(key_window: u64) -> State {
-        State { config: None, keys: Claims::new(key_window + KEPT_LONGER) }
+    /// Creates an empty state. Keys are remembered for `key_window_ms` milliseconds and a margin.
+    pub fn new(key_window_ms: u64) -> State {
+        State { config: None, keys: Claims::new(key_window_ms + KEY_WINDOW_MARGIN_MS) }
     }
 
-    /// The newest configuration, be it kept by all or not yet.
+    /// Returns the newest configuration. Other members of the chain may not have stored it yet.
     pub fn config(&self) -> Option<&Config> {
         self.config.as_ref()
     }
 
-    /// All rows, made anew from the state: for checks against those that were written one by one.
+    /// Builds all rows from the state, to verify the rows that were written incrementally.
     pub fn rows(&self) -> Rows {
-        let config = self.config.iter().map(|config| (Bytes::from_static(CONFIG), encoded(config)));
-        config.chain(self.keys.iter().map(|(key, claim)| (key_row(key), encoded(claim)))).collect()
+        let config = self.config.iter().map(|config| (Bytes::from_static(CONFIG_ROW), encode(config)));
+        config.chain(self.keys.iter().map(|(key, claim)| (claim_row(key), encode(claim)))).collect()
     }
 
-    /// The highest version holds; under one version there is one content.
+    /// Replaces the configuration unless its version is lower than or equal to the current one. An equal version with other
+    /// content is a conflict.
     fn replace(&mut self, config: Config, rows: &mut Vec<Row>) -> ChangeResult {
         if let Some(held) = self.config.as_ref().filter(|held| held.edition >= config.edition) {
             let conflict = held.edition == config.edition && held.body != config.body;
-            let holds = held.edition;
-            return if conflict { ChangeResult::Conflict { holds } } else { ChangeResult::Taken { holds } };
+            let version = held.edition;
+            return if conflict {
+                ChangeResult::Conflict { version }
+            } else {
+                ChangeResult::Accepted { version }
+            };
         }
-        let holds = config.edition;
-        rows.push((Bytes::from_static(CONFIG), Some(encoded(&config))));
+        let version = config.edition;
+        rows.push((Bytes::from_static(CONFIG_ROW), Some(encode(&config))));
         self.config = Some(config);
-        ChangeResult::Taken { holds }
+        ChangeResult::Accepted { version }
     }
 
-    /// The keyed operations.
+    /// Returns the claims of keyed operations.
     pub fn keys(&self) -> &Claims {
         &self.keys
     }
 }
 
-fn encoded<T: Serialize>(value: &T) -> Bytes {
+/// Encodes a value as MessagePack.
+fn encode<T: Serialize>(value: &T) -> Bytes {
     rmp_serde::to_vec(value).unwrap_or_default().into()
 }
 
-fn key_row(key: &Bytes) -> Bytes {
+/// Returns the row key for the claim of an operation's key.
+fn claim_row(key: &Bytes) -> Bytes {
     let mut row = BytesMut::with_capacity(1 + key.len());
-    row.put_u8(KEY);
+    row.put_u8(CLAIM_ROW_PREFIX);
     row.put_slice(key);
     row.freeze()
 }
@@ -108,30 +123,31 @@
 impl StateMachine for State {
     fn apply(&mut self, stamp: u64, update: &Bytes) -> Applied {
         let Ok(change) = rmp_serde::from_slice::<Change>(update) else {
-            return Applied { result: encoded(&ChangeResult::Unknown), rows: Vec::new() };
+            return Applied { result: encode(&ChangeResult::Undecodable), rows: Vec::new() };
         };
         let mut rows: Vec<Row> = Vec::new();
         let result = match change {
             Change::Config(config) => self.replace(config, &mut rows),
             Change::Key(update) => {
                 let (outcome, changed) = self.keys.apply(stamp, &update);
-                let row =
-                    |(key, record): (Bytes, Option<Claim>)| (key_row(&key), record.map(|r| encoded(&r)));
+                let row = |(key, claim): (Bytes, Option<Claim>)| {
+                    (claim_row(&key), claim.map(|claim| encode(&claim)))
+                };
                 rows.extend(changed.into_iter().map(row));
                 ChangeResult::Key(outcome)
             }
             Change::Read => ChangeResult::Config(self.config.clone()),
         };
-        Applied { result: encoded(&result), rows }
+        Applied { result: encode(&result), rows }
     }
 
     fn load(&mut self, rows: &Rows) {
         self.config = None;
         let mut claims = Vec::new();
         for (key, value) in rows.iter() {
-            if key.as_ref() == CONFIG {
+            if key.as_ref() == CONFIG_ROW {
                 self.config = rmp_serde::from_slice(value).ok();
-            } else if key.first() == Some(&KEY)
+            } else if key.first() == Some(&CLAIM_ROW_PREFIX)
                 && let Ok(claim) = rmp_serde::from_slice(value)
             {
                 claims.push((key.slice(1..), claim));
--- a/mesh/process-settings/src/file.rs
+++ b/mesh/process-settings/src/file.rs
@@ -14,8 +14,11 @@
 /// A settings file and the last valid settings read from it.
 pub struct SettingsFile {
     path: PathBuf,
+    /// Fingerprint of the file when it was last read; `None` if it could not be determined.
     fingerprint: Option<Fingerprint>,
+    /// Text from which `settings` were parsed.
     text: String,
+    /// The settings in force.
     settings: Settings,
 }
 
@@ -53,10 +56,12 @@
     }
 }
 
+/// Reads a file as text. An error names the path.
 fn read(path: &std::path::Path) -> Result<String> {
     fs::read_to_string(path).with_context(|| format!("read {}", path.display()))
 }
 
+/// Returns the current fingerprint of a file.
 fn fingerprint(path: &std::path::Path) -> Result<Fingerprint> {
     let metadata = fs::metadata(path).with_context(|| format!("read metadata of {}", path.display()))?;
     Ok((metadata.modified().ok(), metadata.len()))
--- a/mesh/process-settings/src/lib.rs
+++ b/mesh/process-settings/src/lib.rs
@@ -15,14 +15,14 @@
 use span::{Span, parse_span};
 use validator::{Validate, ValidationError};
 
-/// The settings of a mesh process. Field names that differ from the key in the file state the key.
+/// The settings of a mesh process. Where the name of a field differs from its key in the file, its comment states the key.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[validate(schema(function = "consistent"))]
 pub struct Settings {
     /// Name of this machine, unique in the mesh.
     #[validate(length(min = 1, max = 255, message = "expected 1 to 255 bytes"))]
     pub node_name: String,
-    /// Class of this machine, such as its hardware type.
+    /// Label for the class of this machine.
     #[serde(default)]
     pub machine_class: String,
     /// Roles in which this machine serves clients outside the mesh.
@@ -139,13 +139,13 @@
     pub grace: Span,
     /// How long an upstream that has announced its shutdown still serves requests.
     pub drain: Span,
-    /// Retries allowed for each request, as a ratio.
+    /// Number of retries allowed in each `retry_window`, as a ratio of the number of requests.
     pub retry_ratio: f64,
     /// Number of retries allowed in each `retry_window` in addition to `retry_ratio`.
     pub retry_slack: f64,
     /// Length of the window in which retries are counted against `retry_ratio` and `retry_slack`.
     pub retry_window: Span,
-    /// Time between the acknowledgement of a configuration and its being in force on all machines.
+    /// Maximum time from the acknowledgement of a configuration until it is in force on all machines.
     pub edition_time: Span,
 }
 
--- a/mesh/process-settings/src/span.rs
+++ b/mesh/process-settings/src/span.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// Parses a duration between zero and one day, such as `1500ms` or `2.5s`.
+/// Parses a duration between 0 and one day, such as `1500ms` or `2.5s`.
 pub fn parse_span(text: &str) -> Result<Span> {
     let (number, unit) = match text.strip_suffix("ms") {
         Some(number) => (number, 1.0),
--- a/mesh/route-config/src/model.rs
+++ b/mesh/route-config/src/model.rs
@@ -9,7 +9,8 @@
 
 /// Maximum size of a configuration in bytes.
 pub const MAX_CONFIG_BYTES: usize = 16 << 20;
-/// Limit in microseconds (one minute) below which a route's target time must exceed its timeout, if it exceeds it at all.
+/// Upper limit, in microseconds, on how far a route's target may exceed its timeout. An excess of one minute or more is
+/// refused.
 const TARGET_OVER_TIMEOUT_LIMIT_US: u64 = 60_000_000;
 
 /// A complete route configuration.
@@ -113,7 +114,7 @@
 pub enum RouteKind {
     /// All requests may be retried.
     Safe,
-    /// No request may be retried once it may have reached an upstream.
+    /// No request may be retried.
     Unsafe,
     /// All requests may be retried; responses are large.
     Download,
@@ -124,7 +125,7 @@
 /// A route: the requests it matches, and where and how they are sent.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, Validate)]
 pub struct Route {
-    /// Name of the route, for people.
+    /// Descriptive name of the route.
     #[serde(default)]
     pub name: String,
     /// Which requests may be retried, and how.
--- a/mesh/route-config/src/table.rs
+++ b/mesh/route-config/src/table.rs
@@ -7,8 +7,11 @@
 /// The routes of one configuration, indexed by host and path prefix.
 #[derive(Debug)]
 pub struct Table {
+    /// Version of the configuration.
     edition: Edition,
+    /// Limits on the size and timing of client requests.
     limits: SizeLimits,
+    /// All routes, in the order of the configuration.
     routes: Vec<Route>,
     /// The routes of each host, by host name in lower case.
     hosts: HashMap<String, Host>,
--- a/mesh/rpc/src/exchange.rs
+++ b/mesh/rpc/src/exchange.rs
@@ -252,7 +252,7 @@
     pub fn compare_digest(&self, digest: u64) -> RpcResponse {
         match self.mesh_state.borrow().digest() == digest {
             true => RpcResponse::Done,
-            false => RpcResponse::Unavailable("the digests differ".to_owned()),
+            false => RpcResponse::Unavailable("something else is known here".to_owned()),
         }
     }
 
@@ -372,9 +372,12 @@
 
 /// The synchronization with one peer. It ends when this value is dropped.
 pub struct PeerSync {
+    /// The task that pulls from the peer.
     task: AbortHandle,
-    /// When the peer last answered while in contact with a majority.
+    /// Time of the last answer; `None` if there was none yet, or if the last pull was answered by a core machine out of contact
+    /// with a majority.
     last_contact: Rc<Cell<Option<Instant>>>,
+    /// How long the peer holds each pull; `None` if the peer is polled.
     hold: Option<Duration>,
 }
 
--- a/mesh/rpc/src/link.rs
+++ b/mesh/rpc/src/link.rs
@@ -52,7 +52,9 @@
 
 /// A connection to one process.
 pub struct Link {
+    /// Address of the peer.
     address: SocketAddr,
+    /// Queue of frames to send.
     queue: mpsc::Sender<QueuedFrame>,
     /// Total bytes of the queued frames.
     queued_bytes: Rc<Cell<usize>>,
--- a/mesh/rpc/src/offers.rs
+++ b/mesh/rpc/src/offers.rs
@@ -7,7 +7,9 @@
 
 /// A configuration version that a peer offers.
 struct Offer {
+    /// The connection to the peer; dangling once this process no longer synchronizes with the peer.
     link: Weak<Link>,
+    /// Version of the configuration that the peer has.
     version: u32,
 }
 
