--- a/mesh/control-plane/src/core.rs
+++ b/mesh/control-plane/src/core.rs
@@ -23,7 +23,7 @@
 use crate::metrics;
 use crate::tables::{Change, ChangeResult, State};
 
-/// Interval at which the node is told the time.
+/// Interval at which the current time is passed to the node.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// The disk counts as hanging when a write takes longer than this.
 const DISK_HANG_TIME: Duration = Duration::from_millis(1000);
--- a/mesh/control-plane/tests/catch_up.rs
+++ b/mesh/control-plane/tests/catch_up.rs
@@ -233,7 +233,7 @@
         Ok(_) => vec![100, 1_000, number_from_env("CHANGES", 10_000)],
         Err(_) => vec![100, 300],
     };
-    println!("changes   claims   to come back, ms   bytes   pieces   longest step of the others, ms");
+    println!("changes   claims   catch-up time ms   bytes   chunks   longest step of the others, ms");
     for changes in counts {
         let mut core = core_with_one_away(changes as u32, claims);
         let target = core.position(0);
@@ -254,9 +254,9 @@
             slowest_ms = slowest_ms.max(core.now - submitted);
             core.run_until(5_000, |core| core.now >= submitted + 20);
         }
-        let (bytes, pieces) = core.supplied;
+        let (bytes, chunks) = core.supplied;
         println!(
-            "{changes:7}   {claims:6}   {:16}   {bytes}   {pieces}   {:.1} (slowest change {slowest_ms} ms)",
+            "{changes:7}   {claims:6}   {:16}   {bytes}   {chunks}   {:.1} (slowest change {slowest_ms} ms)",
             core.now - started,
             core.longest_step.as_secs_f64() * 1e3
         );
--- a/mesh/process-settings/tests/settings.rs
+++ b/mesh/process-settings/tests/settings.rs
@@ -55,8 +55,8 @@
     ] {
         let text = GOOD.replacen(from, to, 1);
         assert_ne!(text, GOOD, "{from}");
-        let why = format!("{:#}", Settings::parse(&text).expect_err(key));
-        assert!(why.contains(key), "{why:?} does not name {key}");
+        let error = format!("{:#}", Settings::parse(&text).expect_err(key));
+        assert!(error.contains(key), "{error:?} does not name {key}");
     }
 }
 
@@ -84,8 +84,8 @@
     assert_eq!(seeds[0].to_string(), "10.1.0.113:8306");
     // An invalid file is reported once, with its key, and the former settings stay in force.
     std::fs::write(&path, GOOD.replace("[7620,7635]", "[7635,7620]")).expect("a file");
-    let why = format!("{:#}", file.reload(false).expect_err("an invalid port range"));
-    assert!(why.contains("port_range"), "{why}");
+    let error = format!("{:#}", file.reload(false).expect_err("an invalid port range"));
+    assert!(error.contains("port_range"), "{error}");
     assert!(file.reload(false).expect("reported once").is_none());
     assert_eq!(file.settings().seed_nodes[0].to_string(), "10.1.0.113:8306");
     // Keys that need a restart are reported.
--- a/mesh/route-config/tests/configurations.rs
+++ b/mesh/route-config/tests/configurations.rs
@@ -104,8 +104,8 @@
     for (case, change, field) in cases {
         let mut changed = config();
         change(&mut changed);
-        let why = format!("{:#}", parse(&changed).expect_err(case));
-        assert!(why.contains(field), "{case}: {why:?} does not name {field}");
+        let error = format!("{:#}", parse(&changed).expect_err(case));
+        assert!(error.contains(field), "{case}: {error:?} does not name {field}");
     }
     let whole = config().to_string();
     for cut in 0..whole.len() {
--- a/mesh/rpc/src/exchange.rs
+++ b/mesh/rpc/src/exchange.rs
@@ -105,7 +105,11 @@
         // A peer knows a higher incarnation of this process than its own: the clock was set back before the start. The local
         // record takes the next incarnation, so that it replaces the old record everywhere.
         let me = self.local_record.borrow().source.clone();
-        let highest = records.iter().filter(|r| r.source == me).map(|r| r.version.incarnation).max();
+        let highest = records
+            .iter()
+            .filter(|record| record.source == me)
+            .map(|record| record.version.incarnation)
+            .max();
         if highest.is_some_and(|incarnation| incarnation > self.local_record.borrow().version.incarnation) {
             let local = {
                 let mut local = self.local_record.borrow_mut();
@@ -115,7 +119,9 @@
             self.mesh_state.borrow_mut().merge(vec![local]);
             self.local_changes.send_modify(|n| *n += 1);
         }
-        let accepted = records.into_iter().filter(|r| r.source != me || *r == *self.local_record.borrow());
+        let accepted = records
+            .into_iter()
+            .filter(|record| record.source != me || *record == *self.local_record.borrow());
         let changed = self.mesh_state.borrow_mut().merge(accepted.collect());
         if !changed.is_empty() {
             self.view_changes.send_modify(|n| *n += 1);
