--- a/mesh/rpc/src/exchange.rs
+++ b/mesh/rpc/src/exchange.rs
@@ -100,7 +100,8 @@
         self.local_changes.send_modify(|n| *n += 1);
     }
 
-    /// Merges records into the view. A received record of this process is ignored, unless it has a higher incarnation.
+    /// Merges records into the view. Received records of this process are ignored, except that one with a higher incarnation
+    /// makes the local record take the next incarnation.
     fn merge_records(&self, records: Vec<Record>) {
         // A peer knows a higher incarnation of this process than its own: the clock was set back before the start. The local
         // record takes the next incarnation, so that it replaces the old record everywhere.
