--- a/mesh/config-transfer/src/metrics.rs
+++ b/mesh/config-transfer/src/metrics.rs
@@ -16,11 +16,11 @@
     Counter::new("sloeline_transfers_completed_total", "Configurations received whole.");
 /// Counts the requested pieces that did not arrive.
 pub static PIECES_LOST: Counter =
-    Counter::new("sloeline_transfer_pieces_lost_total", "Pieces that were requested and did not arrive.");
+    Counter::new("sloeline_transfer_pieces_lost_total", "Pieces that were asked for and did not come.");
 /// Counts the transfers that were abandoned after some of their bytes had arrived.
 pub static TRANSFERS_RESTARTED: Counter = Counter::new(
     "sloeline_transfers_restarted_total",
-    "Transfers abandoned with bytes received, since no holder had them any more.",
+    "Transfers given up with bytes received, since no holder had them any more.",
 );
 /// Each piece starts at the offset where the previous piece of its transfer ended, so received bytes are not discarded
 /// while a holder can continue the transfer.
--- a/mesh/rpc/src/metrics.rs
+++ b/mesh/rpc/src/metrics.rs
@@ -9,21 +9,20 @@
 pub static SENT_BYTES: Counter = Counter::new("sloeline_rpc_sent_bytes_total", "Bytes sent in own calls.");
 /// Counts this process's calls that ended without a response in time.
 pub static TIMED_OUT_CALLS: Counter =
-    Counter::new("sloeline_rpc_timed_out_calls_total", "Own calls that ended without an answer in time.");
+    Counter::new("sloeline_rpc_timed_out_calls_total", "Own calls that ended for want of an answer in time.");
 /// Counts the frames that were dropped because a queue was full, both queued requests and responses.
 pub static DROPPED_FRAMES: Counter = Counter::new(
     "sloeline_rpc_dropped_frames_total",
-    "Frames dropped because too many were queued for a connection.",
+    "Frames dropped because too many waited for a connection.",
 );
 /// Counts the bytes of responses that this process sent.
 pub static SERVED_BYTES: Counter =
-    Counter::new("sloeline_rpc_served_bytes_total", "Bytes of answers to calls of other processes.");
+    Counter::new("sloeline_rpc_served_bytes_total", "Bytes of answers to calls of others.");
 /// Counts the requests and notifications that this process received.
-pub static SERVED_CALLS: Counter =
-    Counter::new("sloeline_rpc_served_calls_total", "Calls of other processes.");
+pub static SERVED_CALLS: Counter = Counter::new("sloeline_rpc_served_calls_total", "Calls of others.");
 /// Number of received requests and notifications that are still being handled.
 pub static SERVED_CALLS_OPEN: Gauge =
-    Gauge::new("sloeline_rpc_served_calls_open", "Calls of other processes without an answer yet.");
+    Gauge::new("sloeline_rpc_served_calls_open", "Calls of others without an answer yet.");
 /// Counts this process's pulls that were answered by a process in contact with a majority, or by a balancer.
 pub static PULLS_ANSWERED: Counter =
     Counter::new("sloeline_pulls_answered_total", "Own pulls that were answered.");
