--- a/mesh/data-plane/src/receive.rs
+++ b/mesh/data-plane/src/receive.rs
@@ -23,7 +23,7 @@
 use sloeline_http::payload::Payload;
 use sloeline_http::upload::Sent;
 use sloeline_http::upstream::{Call, Relayed, Reply, Upstreams};
-use sloeline_idempotency::{ClaimOutcome, Entry, Ledger, StoredResponse};
+use sloeline_idempotency::{ClaimOutcome, Ledger, RunState, StoredResponse};
 use sloeline_rpc::RpcResponse;
 use sloeline_rpc::exchange::Exchange;
 use sloeline_settings::setup::ring_hash;
@@ -468,8 +468,8 @@
     fn recalled(&self, key: &Bytes, run: u64) -> Option<RpcResponse> {
         match self.ledger.borrow().get(key) {
             Some((known, entry)) if *known == run => Some(match entry {
-                Entry::Running => RpcResponse::RunInProgress,
-                Entry::Ran(answer) => RpcResponse::RunFinished(answer.clone()),
+                RunState::Running => RpcResponse::RunInProgress,
+                RunState::Finished(answer) => RpcResponse::RunFinished(answer.clone()),
             }),
             _ => None,
         }
@@ -492,7 +492,7 @@
 
     /// Keeps an answer for another holder.
     pub fn keep(&self, key: &Bytes, run: u64, answer: StoredResponse) {
-        self.ledger.borrow_mut().keep(self.now() / 1000, key, run, answer);
+        self.ledger.borrow_mut().store_replica(self.now() / 1000, key, run, answer);
     }
 
     /// The answer to a repeat.
@@ -527,17 +527,17 @@
             return self.repeat(&key, run, &own, going.id).await;
         }
         let run = fastrand::u64(1..);
-        self.ledger.borrow_mut().begin(self.now() / 1000, &key, run);
+        self.ledger.borrow_mut().start(self.now() / 1000, &key, run);
         let left = Duration::from_micros(going.until.saturating_sub(self.now()));
         match self.keys.claim(&key, run, left / 2).await {
             Ok(ClaimOutcome::Granted) => {}
             Ok(ClaimOutcome::Held { run: first, holder }) => {
-                self.ledger.borrow_mut().end(&key, run);
+                self.ledger.borrow_mut().remove_run(&key, run);
                 return self.repeat(&key, first, &holder, going.id).await;
             }
             Err(why) => {
                 debug!(target: "keys", "Not claimed: {why:#}.");
-                self.ledger.borrow_mut().end(&key, run);
+                self.ledger.borrow_mut().remove_run(&key, run);
                 return not_run(
                     StatusCode::SERVICE_UNAVAILABLE,
                     "the key could not be claimed",
@@ -552,11 +552,11 @@
         match ran {
             Ran::Not(answer) => {
                 self.keys.release(&key, run).await;
-                self.ledger.borrow_mut().end(&key, run);
+                self.ledger.borrow_mut().remove_run(&key, run);
                 answer
             }
             Ran::Unknown(answer) => {
-                self.ledger.borrow_mut().ran(&key, run, None);
+                self.ledger.borrow_mut().finish(&key, run, None);
                 answer
             }
             Ran::Answered(reply) => {
@@ -568,7 +568,7 @@
                 if let (Some(answer), Some(keeper)) = (&kept, self.keepers(&me).first()) {
                     self.keys.keep(*keeper, key.clone(), run, answer.clone());
                 }
-                self.ledger.borrow_mut().ran(&key, run, kept);
+                self.ledger.borrow_mut().finish(&key, run, kept);
                 answer
             }
         }
--- a/mesh/idempotency/src/claims.rs
+++ b/mesh/idempotency/src/claims.rs
@@ -1,105 +1,108 @@
-//! Who may run an operation: the first to claim its key.
+//! The claim table: grants each operation key to the first run that claims it.
 
 use std::collections::{HashMap, VecDeque};
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// What is asked of the table.
+/// A change requested of the claim table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimUpdate {
-    /// May this run go?
+    /// Claims a key for a run; granted unless another run holds the key.
     Claim {
-        /// The key.
+        /// The operation key to claim.
         key: Bytes,
-        /// The run, never used for another.
+        /// Identifier of the run that claims the key; never used for another run.
         run: u64,
-        /// The machine that would run it.
+        /// Name of the machine that executes the run if the claim is granted.
         holder: String,
     },
-    /// It did not run and never will.
+    /// Releases the claim of a run that never started and never will.
     Release {
-        /// The key.
+        /// The operation key to release.
         key: Bytes,
-        /// The run.
+        /// Identifier of the run that gives up its claim; the claim of any other run stays.
         run: u64,
     },
 }
 
-/// What came of it.
+/// Result of applying a [`ClaimUpdate`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimOutcome {
-    /// The run may go, or its claim is taken back.
+    /// The run that asked holds the key and may start, or its claim is released.
     Granted,
-    /// Another run has the key.
+    /// Another run holds the key.
     Held {
-        /// That run.
+        /// Identifier of the run that holds the key.
         run: u64,
-        /// On this machine.
+        /// Name of the machine that executes the run that holds the key.
         holder: String,
     },
 }
 
-/// What is kept of a key.
+/// The claim stored for an operation key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// When it was claimed.
-    pub stamp: u64,
-    /// By which run.
+    /// When the claim was granted, in milliseconds on the clock of [`Claims::apply`].
+    #[serde(rename = "stamp")]
+    pub claimed_at_ms: u64,
+    /// Identifier of the run that holds the claim.
     pub run: u64,
-    /// On which machine.
+    /// Name of the machine that executes the run.
     pub holder: String,
 }
 
-/// All keys within their window.
+/// All claims that are younger than the claim window.
 #[derive(Debug, Default)]
 pub struct Claims {
     claims: HashMap<Bytes, Claim>,
-    /// In the order of their claims.
-    order: VecDeque<(u64, u64, Bytes)>,
-    window: u64,
+    /// Grant time, run and key of each claim, oldest first. Released claims stay listed until they expire.
+    expiry_order: VecDeque<(u64, u64, Bytes)>,
+    window_ms: u64,
 }
 
-/// Claims that changed: the key, and what is kept now.
-pub type Changed = Vec<(Bytes, Option<Claim>)>;
+/// Claims changed by an update: each key with its new claim, or `None` if the key is no longer claimed.
+pub type ClaimChanges = Vec<(Bytes, Option<Claim>)>;
 
 impl Claims {
-    /// None; keys are kept for `window` milliseconds.
-    pub fn new(window: u64) -> Claims {
-        Claims { window, ..Claims::default() }
+    /// Creates an empty table whose claims expire after `window_ms` milliseconds.
+    pub fn new(window_ms: u64) -> Claims {
+        Claims { window_ms, ..Claims::default() }
     }
 
-    /// How many keys are kept.
+    /// Number of stored claims.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// None is.
+    /// Whether no claim is stored.
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
 
-    /// What is kept of a key.
+    /// The claim stored for an operation key.
     pub fn get(&self, key: &Bytes) -> Option<&Claim> {
         self.claims.get(key)
     }
 
-    /// All of it.
+    /// Iterates over all operation keys and their claims, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = (&Bytes, &Claim)> {
         self.claims.iter()
     }
 
-    /// Takes these claims in place of all others.
+    /// Replaces all stored claims by the given ones.
     pub fn replace_all(&mut self, claims: impl Iterator<Item = (Bytes, Claim)>) {
         self.claims = claims.collect();
-        let mut order: Vec<_> = self.claims.iter().map(|(k, c)| (c.stamp, c.run, k.clone())).collect();
+        let mut order: Vec<_> =
+            self.claims.iter().map(|(k, c)| (c.claimed_at_ms, c.run, k.clone())).collect();
         order.sort_unstable();
-        self.order = order.into();
+        self.expiry_order = order.into();
     }
 
-    /// Applies an update. Stamps never go back.
-    pub fn apply(&mut self, stamp: u64, update: &ClaimUpdate) -> (ClaimOutcome, Changed) {
-        let mut changed = self.expire(stamp);
+    /// Applies an update at the time `now_ms`, which never decreases from one call to the next. Returns the outcome and
+    /// all claims that changed, including those that expired.
+    pub fn apply(&mut self, now_ms: u64, update: &ClaimUpdate) -> (ClaimOutcome, ClaimChanges) {
+        let mut changed = self.expire(now_ms);
         let outcome = match update {
             ClaimUpdate::Claim { key, run, holder } => match self.claims.get(key) {
                 Some(claim) if claim.run != *run => {
@@ -107,8 +110,8 @@
                 }
                 Some(_) => ClaimOutcome::Granted,
                 None => {
-                    let claim = Claim { stamp, run: *run, holder: holder.clone() };
-                    self.order.push_back((stamp, *run, key.clone()));
+                    let claim = Claim { claimed_at_ms: now_ms, run: *run, holder: holder.clone() };
+                    self.expiry_order.push_back((now_ms, *run, key.clone()));
                     changed.push((key.clone(), Some(claim.clone())));
                     self.claims.insert(key.clone(), claim);
                     ClaimOutcome::Granted
@@ -125,13 +128,13 @@
         (outcome, changed)
     }
 
-    /// Forgets what is older than the window.
-    fn expire(&mut self, stamp: u64) -> Changed {
-        let mut changed = Changed::new();
-        while self.order.front().is_some_and(|(at, ..)| at.saturating_add(self.window) < stamp) {
-            let Some((at, run, key)) = self.order.pop_front() else { break };
-            // It may have been taken back, and claimed anew since.
-            if self.claims.get(&key).is_some_and(|c| c.run == run && c.stamp == at) {
+    /// Removes all claims that are older than the window.
+    fn expire(&mut self, now_ms: u64) -> ClaimChanges {
+        let mut changed = ClaimChanges::new();
+        while self.expiry_order.front().is_some_and(|(at, ..)| at.saturating_add(self.window_ms) < now_ms) {
+            let Some((at, run, key)) = self.expiry_order.pop_front() else { break };
+            // The claim may have been released and its key claimed again since.
+            if self.claims.get(&key).is_some_and(|c| c.run == run && c.claimed_at_ms == at) {
                 self.claims.remove(&key);
                 changed.push((key, None));
             }
--- a/mesh/idempotency/src/ledger.rs
+++ b/mesh/idempotency/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What came of the runs that this machine holds claims for.
+//! Results of the runs whose claims this machine holds.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -6,95 +6,105 @@
 
 use crate::StoredResponse;
 
-/// What is known of a run.
+/// State of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Entry {
-    /// It is at work, or waits to be.
+pub enum RunState {
+    /// The run is in progress, or waits to start.
     Running,
-    /// It ran, with this answer; nothing where the answer was lost or is too large.
-    Ran(Option<StoredResponse>),
+    /// The run finished with this response; `None` if the response was lost or is too large to store.
+    Finished(Option<StoredResponse>),
 }
 
-/// The runs of this process, for as long as their keys are kept.
+/// The runs of this process and their responses, for as long as their operation keys are remembered.
 #[derive(Debug)]
 pub struct Ledger {
-    entries: HashMap<Bytes, (u64, Entry)>,
-    /// In the order of their beginnings.
-    order: VecDeque<(u64, u64, Bytes)>,
-    window: u64,
-    bytes: usize,
-    most: usize,
+    /// Run identifier and state, by operation key.
+    entries: HashMap<Bytes, (u64, RunState)>,
+    /// Start time, run identifier and operation key of each run, oldest first. Removed runs stay listed until they expire.
+    expiry_order: VecDeque<(u64, u64, Bytes)>,
+    window_ms: u64,
+    stored_bytes: usize,
+    max_bytes: usize,
 }
 
 impl Ledger {
-    /// None; entries are kept for `window` milliseconds, answers in at most so many bytes.
-    pub fn new(window: u64, most: usize) -> Ledger {
-        Ledger { entries: HashMap::new(), order: VecDeque::new(), window, bytes: 0, most }
+    /// Creates an empty ledger that keeps entries for `window_ms` milliseconds and stores responses of at most
+    /// `max_bytes` bytes in total.
+    pub fn new(window_ms: u64, max_bytes: usize) -> Ledger {
+        Ledger {
+            entries: HashMap::new(),
+            expiry_order: VecDeque::new(),
+            window_ms,
+            stored_bytes: 0,
+            max_bytes,
+        }
     }
 
-    /// How many there are.
+    /// Number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// None is.
+    /// Whether there is no entry.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// About what the answers take of the memory.
-    pub fn bytes(&self) -> usize {
-        self.bytes
+    /// Approximate memory use of the stored responses and their keys, in bytes.
+    pub fn stored_bytes(&self) -> usize {
+        self.stored_bytes
     }
 
-    /// What is known of a key, and of which run.
-    pub fn get(&self, key: &Bytes) -> Option<&(u64, Entry)> {
+    /// Identifier and state of the run known for an operation key.
+    pub fn get(&self, key: &Bytes) -> Option<&(u64, RunState)> {
         self.entries.get(key)
     }
 
-    /// A run begins.
-    pub fn begin(&mut self, now: u64, key: &Bytes, run: u64) {
-        while self.order.front().is_some_and(|(at, ..)| at.saturating_add(self.window) < now) {
-            let Some((_, run, key)) = self.order.pop_front() else { break };
-            self.end(&key, run);
+    /// Records the start of a run in place of any earlier entry for its key, and removes expired entries.
+    pub fn start(&mut self, now_ms: u64, key: &Bytes, run: u64) {
+        while self.expiry_order.front().is_some_and(|(at, ..)| at.saturating_add(self.window_ms) < now_ms) {
+            let Some((_, run, key)) = self.expiry_order.pop_front() else { break };
+            self.remove_run(&key, run);
         }
         self.remove(key);
-        self.entries.insert(key.clone(), (run, Entry::Running));
-        self.order.push_back((now, run, key.clone()));
+        self.entries.insert(key.clone(), (run, RunState::Running));
+        self.expiry_order.push_back((now_ms, run, key.clone()));
     }
 
-    /// It ran.
-    pub fn ran(&mut self, key: &Bytes, run: u64, answer: Option<StoredResponse>) {
-        let Some((known, entry)) = self.entries.get_mut(key) else { return };
-        if *known != run || *entry != Entry::Running {
+    /// Records that a run finished, with its response if there is one to store.
+    pub fn finish(&mut self, key: &Bytes, run: u64, response: Option<StoredResponse>) {
+        let Some((known, state)) = self.entries.get_mut(key) else { return };
+        if *known != run || *state != RunState::Running {
             return;
         }
-        // The key counts too: many small answers under long keys take memory as well.
-        let size = answer.as_ref().map_or(0, |a| a.size() + key.len());
-        // Guards the memory: an answer that is not kept is lost, which is no promise broken.
-        let kept = self.bytes + size <= self.most;
-        *entry = Entry::Ran(answer.filter(|_| kept));
-        self.bytes += if kept { size } else { 0 };
+        // The key counts as well: many small responses under long keys also use memory.
+        let size = response.as_ref().map_or(0, |r| r.size() + key.len());
+        // Bounds memory use. A response that does not fit counts as lost, which breaks no guarantee.
+        let fits = self.stored_bytes + size <= self.max_bytes;
+        *state = RunState::Finished(response.filter(|_| fits));
+        self.stored_bytes += if fits { size } else { 0 };
     }
 
-    /// Keeps an answer for another holder, which may forget it.
-    pub fn keep(&mut self, now: u64, key: &Bytes, run: u64, answer: StoredResponse) {
+    /// Stores a response for another machine, which holds the claim but may lose the response. Does nothing if there is
+    /// an entry for the key.
+    pub fn store_replica(&mut self, now_ms: u64, key: &Bytes, run: u64, response: StoredResponse) {
         if !self.entries.contains_key(key) {
-            self.begin(now, key, run);
-            self.ran(key, run, Some(answer));
+            self.start(now_ms, key, run);
+            self.finish(key, run, Some(response));
         }
     }
 
-    /// It never ran and never will.
-    pub fn end(&mut self, key: &Bytes, run: u64) {
+    /// Removes the entry of a run, either because it never ran and never will or because it has expired.
+    pub fn remove_run(&mut self, key: &Bytes, run: u64) {
         if self.entries.get(key).is_some_and(|(known, _)| *known == run) {
             self.remove(key);
         }
     }
 
+    /// Removes the entry of an operation key and stops counting the bytes of its response.
     fn remove(&mut self, key: &Bytes) {
-        if let Some((_, Entry::Ran(Some(answer)))) = self.entries.remove(key) {
-            self.bytes = self.bytes.saturating_sub(answer.size() + key.len());
+        if let Some((_, RunState::Finished(Some(response)))) = self.entries.remove(key) {
+            self.stored_bytes = self.stored_bytes.saturating_sub(response.size() + key.len());
         }
     }
 }
--- a/mesh/idempotency/src/lib.rs
+++ b/mesh/idempotency/src/lib.rs
@@ -1,20 +1,20 @@
-//! Keyed operations, one train to a section. A key is claimed before its operation runs: [`claims`] is the table of
-//! claims that the core keeps. Whoever holds a claim keeps what came of its run: [`ledger`]. Both are state machines;
-//! where they live is the caller's business.
+//! Idempotency keys: an operation with a key runs at most once within a time window. A key is claimed before its operation
+//! runs; [`claims`] is the table of claims that the core keeps. The machine that holds a claim records the result of the
+//! run in its [`ledger`]. Both are state machines without I/O; the caller decides where they run.
 //!
-//! What a repeat is told, and why nothing runs twice:
+//! How a repeated request is answered, and why no operation runs twice:
 //!
-//! | the claim | the holder's ledger | a repeat gets |
+//! | claim | ledger of the claim holder | answer to the repeat |
 //! | --- | --- | --- |
-//! | none | | the claim, then a run of its own |
-//! | held | at work | 409 |
-//! | held | ran, answer kept | the first answer |
-//! | held | ran, answer lost or too large | 502: it ran or may have run, and no promise |
-//! | held | not asked, not reached, or the holder has started anew | 502: the same |
-//! | taken back by its run | never ran | as if there had been none |
+//! | none | | the repeat gets the claim and runs the operation |
+//! | held | running | 409 |
+//! | held | finished, response stored | the first response |
+//! | held | finished, response lost or too large | 502: the operation ran or may have run; no guarantee |
+//! | held | not asked, not reachable, or the holder has restarted | 502, as in the row above |
+//! | released by its run | never ran | as if there had been no claim |
 //!
-//! A claim is taken back only by its own run, and only when that surely never ran and never will. It goes with the
-//! window otherwise.
+//! Only the run itself releases its claim, and only if it certainly never ran and never will. All other claims end with
+//! the window.
 
 pub mod claims;
 pub mod ledger;
@@ -23,24 +23,24 @@
 use serde::{Deserialize, Serialize};
 
 pub use claims::{Claim, ClaimOutcome, ClaimUpdate, Claims};
-pub use ledger::{Entry, Ledger};
+pub use ledger::{Ledger, RunState};
 
-/// Most bytes of a key; longer ones are refused.
+/// Maximum length of an operation key in bytes; requests with longer keys are rejected.
 pub const MAX_KEY_BYTES: usize = 512;
 
-/// An answer that is kept.
+/// A response stored for repeats of its request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredResponse {
-    /// Its status.
+    /// HTTP status code.
     pub status: u16,
-    /// Its headers.
+    /// Names and values of the HTTP headers.
     pub headers: Vec<(String, Bytes)>,
-    /// Its body.
+    /// The whole body.
     pub body: Bytes,
 }
 
 impl StoredResponse {
-    /// About what it takes of the memory.
+    /// Approximate memory use in bytes.
     pub fn size(&self) -> usize {
         self.body.len()
             + self.headers.iter().map(|(name, value)| name.len() + value.len() + 64).sum::<usize>()
--- a/mesh/idempotency/tests/keys.rs
+++ b/mesh/idempotency/tests/keys.rs
@@ -1,17 +1,19 @@
-//! Claims and ledgers against a plain specification: within its window a key is granted to one run at most, unless that
-//! run has taken its claim back.
+//! Checks claims and ledgers against a simple model: within the window a key is granted to at most one run, unless that
+//! run releases its claim.
 
 use std::collections::HashMap;
 
 use bytes::Bytes;
 use quickcheck::{Arbitrary, Gen, quickcheck};
-use sloeline_idempotency::{ClaimOutcome, ClaimUpdate, Claims, Entry, Ledger, StoredResponse};
+use sloeline_idempotency::{ClaimOutcome, ClaimUpdate, Claims, Ledger, RunState, StoredResponse};
 
-const WINDOW: u64 = 50;
+/// Window of the claim tables and ledgers under test.
+const WINDOW_MS: u64 = 50;
 
+/// One update of the claim table, applied after a pause.
 #[derive(Clone, Debug)]
 struct Step {
-    pause: u64,
+    pause_ms: u64,
     key: u8,
     run: u64,
     release: bool,
@@ -19,9 +21,9 @@
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Step {
-        let pause = *g.choose(&[0, 1, 5, 30, 60]).unwrap_or(&0);
+        let pause_ms = *g.choose(&[0, 1, 5, 30, 60]).unwrap_or(&0);
         Step {
-            pause,
+            pause_ms,
             key: u8::arbitrary(g) % 4,
             run: u64::arbitrary(g) % 6 + 1,
             release: u8::arbitrary(g) % 4 == 0,
@@ -29,10 +31,12 @@
     }
 }
 
+/// The operation key of a step.
 fn key(step: &Step) -> Bytes {
     Bytes::from(vec![step.key])
 }
 
+/// The claim update of a step; each run has a holder of its own.
 fn update(step: &Step) -> ClaimUpdate {
     match step.release {
         true => ClaimUpdate::Release { key: key(step), run: step.run },
@@ -41,13 +45,13 @@
 }
 
 quickcheck! {
-    fn a_key_has_one_run_within_its_window(steps: Vec<Step>) -> bool {
-        let mut claims = Claims::new(WINDOW);
+    fn a_key_is_granted_to_one_run_within_its_window(steps: Vec<Step>) -> bool {
+        let mut claims = Claims::new(WINDOW_MS);
         let mut held: HashMap<u8, (u64, u64)> = HashMap::new();
         let mut now = 0;
         steps.iter().all(|step| {
-            now += step.pause;
-            held.retain(|_, (at, _)| *at + WINDOW >= now);
+            now += step.pause_ms;
+            held.retain(|_, (at, _)| *at + WINDOW_MS >= now);
             let (outcome, _) = claims.apply(now, &update(step));
             let holder = held.get(&step.key).map(|(_, run)| *run);
             if step.release {
@@ -67,77 +71,77 @@
         })
     }
 
-    fn a_table_that_was_written_row_by_row_and_loaded_goes_on_alike(steps: Vec<Step>, cut: usize) -> bool {
+    fn a_table_restored_from_its_changes_behaves_like_the_original(steps: Vec<Step>, cut: usize) -> bool {
         let cut = cut % (steps.len() + 1);
-        let (mut one, mut rows, mut now) = (Claims::new(WINDOW), HashMap::new(), 0);
+        let (mut original, mut rows, mut now) = (Claims::new(WINDOW_MS), HashMap::new(), 0);
         for step in &steps[..cut] {
-            now += step.pause;
-            for (key, claim) in one.apply(now, &update(step)).1 {
+            now += step.pause_ms;
+            for (key, claim) in original.apply(now, &update(step)).1 {
                 match claim {
                     Some(claim) => rows.insert(key, claim),
                     None => rows.remove(&key),
                 };
             }
         }
-        let mut other = Claims::new(WINDOW);
-        other.replace_all(rows.into_iter());
+        let mut restored = Claims::new(WINDOW_MS);
+        restored.replace_all(rows.into_iter());
         steps[cut..].iter().all(|step| {
-            now += step.pause;
-            one.apply(now, &update(step)).0 == other.apply(now, &update(step)).0
-        }) && one.len() == other.len()
+            now += step.pause_ms;
+            original.apply(now, &update(step)).0 == restored.apply(now, &update(step)).0
+        }) && original.len() == restored.len()
     }
 
-    fn a_ledger_keeps_within_its_bytes_and_counts_them(sizes: Vec<(u8, u16, bool)>) -> bool {
-        let most = 20_000;
-        let mut ledger = Ledger::new(WINDOW, most);
-        for (at, (key, size, ends)) in sizes.into_iter().enumerate() {
+    fn a_ledger_stays_within_its_byte_limit_and_counts_stored_bytes(sizes: Vec<(u8, u16, bool)>) -> bool {
+        let max_bytes = 20_000;
+        let mut ledger = Ledger::new(WINDOW_MS, max_bytes);
+        for (at, (key, size, removed)) in sizes.into_iter().enumerate() {
             let (now, run, key) = (at as u64 * 3, at as u64, Bytes::from(vec![key % 16]));
-            ledger.begin(now, &key, run);
+            ledger.start(now, &key, run);
             let body = Bytes::from(vec![0; usize::from(size % 4096)]);
-            match ends {
-                true => ledger.end(&key, run),
-                false => ledger.ran(&key, run, Some(StoredResponse { status: 200, headers: Vec::new(), body })),
+            match removed {
+                true => ledger.remove_run(&key, run),
+                false => ledger.finish(&key, run, Some(StoredResponse { status: 200, headers: Vec::new(), body })),
             }
-            if ledger.bytes() > most || ledger.len() > 18 {
+            if ledger.stored_bytes() > max_bytes || ledger.len() > 18 {
                 return false;
             }
         }
         let keys: Vec<Bytes> = (0..16).map(|k| Bytes::from(vec![k])).collect();
-        let kept = keys.iter().filter_map(|k| match ledger.get(k) {
-            Some((_, Entry::Ran(Some(answer)))) => Some(answer.size() + k.len()),
+        let stored = keys.iter().filter_map(|k| match ledger.get(k) {
+            Some((_, RunState::Finished(Some(response)))) => Some(response.size() + k.len()),
             _ => None,
         });
-        kept.sum::<usize>() == ledger.bytes()
+        stored.sum::<usize>() == ledger.stored_bytes()
     }
 }
 
 #[test]
-fn a_late_word_of_an_earlier_run_changes_nothing() {
+fn a_late_release_by_an_earlier_run_changes_nothing() {
     let (key, now) = (Bytes::from_static(b"k"), 0);
-    let mut claims = Claims::new(WINDOW);
+    let mut claims = Claims::new(WINDOW_MS);
     let claim = |run| ClaimUpdate::Claim { key: key.clone(), run, holder: "m".to_owned() };
     claims.apply(now, &claim(1));
     claims.apply(now, &ClaimUpdate::Release { key: key.clone(), run: 1 });
     claims.apply(now, &claim(2));
-    // The first run's word again, as after a connection that broke.
+    // The first run's release arrives a second time, as after a broken connection.
     claims.apply(now, &ClaimUpdate::Release { key: key.clone(), run: 1 });
     assert_eq!(claims.get(&key).map(|c| c.run), Some(2));
-    let mut ledger = Ledger::new(WINDOW, 1 << 20);
-    ledger.begin(now, &key, 2);
-    ledger.ran(&key, 1, None);
-    ledger.end(&key, 1);
-    assert_eq!(ledger.get(&key), Some(&(2, Entry::Running)));
+    let mut ledger = Ledger::new(WINDOW_MS, 1 << 20);
+    ledger.start(now, &key, 2);
+    ledger.finish(&key, 1, None);
+    ledger.remove_run(&key, 1);
+    assert_eq!(ledger.get(&key), Some(&(2, RunState::Running)));
 }
 
 #[test]
-fn an_answer_kept_for_another_holder_never_replaces_what_is_known() {
+fn a_replica_never_replaces_a_known_run() {
     let key = Bytes::from_static(b"k");
-    let answer = |status| StoredResponse { status, headers: Vec::new(), body: Bytes::new() };
-    let mut ledger = Ledger::new(WINDOW, 1 << 20);
-    ledger.begin(0, &key, 7);
-    ledger.keep(0, &key, 8, answer(200));
-    assert_eq!(ledger.get(&key), Some(&(7, Entry::Running)));
-    ledger.end(&key, 7);
-    ledger.keep(0, &key, 8, answer(200));
-    assert_eq!(ledger.get(&key), Some(&(8, Entry::Ran(Some(answer(200))))));
+    let response = |status| StoredResponse { status, headers: Vec::new(), body: Bytes::new() };
+    let mut ledger = Ledger::new(WINDOW_MS, 1 << 20);
+    ledger.start(0, &key, 7);
+    ledger.store_replica(0, &key, 8, response(200));
+    assert_eq!(ledger.get(&key), Some(&(7, RunState::Running)));
+    ledger.remove_run(&key, 7);
+    ledger.store_replica(0, &key, 8, response(200));
+    assert_eq!(ledger.get(&key), Some(&(8, RunState::Finished(Some(response(200))))));
 }
