--- a/mesh/discovery/src/lib.rs
+++ b/mesh/discovery/src/lib.rs
@@ -1,6 +1,7 @@
-//! Who exists: each process of the mesh is the source of one record about itself and its upstream. Processes pull what
-//! they lack by a [`VersionVector`] of versions, one for each source. Of configurations a pull tells the newest version only; the
-//! configuration itself is a transfer of its own. Rendezvous hashing names the few others that a balancer pulls from.
+//! Discovery of mesh members: each process publishes one record about itself and its upstream. Processes pull newer
+//! records from each other; a [`VersionVector`] with one version per source says what the requester has. A response only
+//! announces the version of the newest configuration, whose content is transferred separately. Rendezvous hashing selects
+//! the few processes that a balancer pulls from.
 
 pub mod mesh_state;
 pub mod record;
--- a/mesh/discovery/src/mesh_state.rs
+++ b/mesh/discovery/src/mesh_state.rs
@@ -1,4 +1,4 @@
-//! All that a process knows of others, and what it tells to those who lack it.
+//! What a process knows of the mesh, and the responses to pulls from other processes.
 
 use std::collections::BTreeMap;
 use std::hash::Hasher;
@@ -9,129 +9,130 @@
 use sloeline_config_transfer::Config;
 
 use crate::record::{Record, Version, VersionVector};
-use crate::rendezvous::Fnv;
+use crate::rendezvous::FnvHasher;
 
-/// Most records that are kept. Guards the memory against a stranger that makes names up.
-const MOST_RECORDS: usize = 1 << 16;
+/// Maximum number of stored records. Bounds memory use if a faulty or hostile process invents source names.
+const MAX_RECORDS: usize = 1 << 16;
 
-/// The core machines that serve, as of a view of theirs: the higher round holds.
+/// The core machines of one membership view. A list of a higher round replaces one of a lower round.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CoreList {
-    /// The round of that view.
+    /// Round of the membership view.
     pub round: u64,
-    /// Where processes of the mesh reach them.
+    /// Addresses at which processes of the mesh reach the core machines.
     pub machines: Vec<SocketAddr>,
 }
 
-/// Asks for what is lacking.
+/// A request for everything that is newer at the responder than at the requester.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pull {
-    /// Who asks.
+    /// Node name of the requester.
     pub source: String,
-    /// What the asker has.
+    /// Versions of the records that the requester has.
     pub vector: VersionVector,
-    /// The version of its configuration, where it has one.
+    /// Version of the requester's configuration, if it has one.
     #[serde(rename = "edition")]
     pub config_version: Option<u32>,
-    /// The newest version that the other has told of.
+    /// Newest configuration version that the responder has offered to this requester before.
     #[serde(rename = "offered")]
     pub offered_version: Option<u32>,
-    /// The round of its list of core machines, where it has one.
+    /// Round of the requester's list of core machines, if it has one.
     pub core_round: Option<u64>,
-    /// What the asker believes that the other lacks.
+    /// Records that the requester believes the responder does not have.
     #[serde(rename = "told")]
     pub pushed_records: Vec<Record>,
-    /// How long the other may wait for news, in milliseconds.
+    /// How long the responder may hold the request until it has something new, in milliseconds.
     #[serde(rename = "hold")]
     pub max_hold_ms: u64,
 }
 
-/// What was lacking.
+/// Everything that is newer at the responder than at the requester of a [`Pull`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PullResponse {
-    /// Records.
+    /// Records that are newer than those of the requester.
     pub records: Vec<Record>,
-    /// The version of a newer configuration. Its content is fetched in pieces: a message that must come within a time limit
-    /// holds nothing that grows without bound.
+    /// Version of a newer configuration. Its content is fetched separately in pieces, because a message with a time limit
+    /// must not contain anything of unbounded size.
     #[serde(rename = "offered")]
     pub offered_version: Option<u32>,
-    /// A newer list of core machines.
+    /// A list of core machines that is newer than the requester's.
     #[serde(rename = "core")]
     pub core_list: Option<CoreList>,
-    /// What the other has of the asker.
+    /// Version of the requester's own record that the responder has.
     #[serde(rename = "yours")]
     pub requester_version: Option<Version>,
-    /// The other is of the core and has not heard a majority lately: what it knows may be old, and its configuration is
-    /// not offered.
+    /// Whether the responder is a core machine that has lost contact with the majority of the core. Its records may be
+    /// outdated, and it offers no configuration.
     pub out_of_contact: bool,
 }
 
 impl PullResponse {
-    /// There are none.
+    /// Whether the response contains nothing new.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty() && self.offered_version.is_none() && self.core_list.is_none()
     }
 }
 
-/// What is known. Snapshots are immutable and swapped whole.
+/// Everything that a process knows of the mesh. Snapshots that were handed out never change.
 #[derive(Default)]
 pub struct MeshState {
     records: Rc<BTreeMap<String, Rc<Record>>>,
     config: Option<Rc<Config>>,
-    core: Option<Rc<CoreList>>,
+    core_list: Option<Rc<CoreList>>,
 }
 
 impl MeshState {
-    /// Everybody, as of now.
+    /// A snapshot of all records, by source.
     pub fn records(&self) -> Rc<BTreeMap<String, Rc<Record>>> {
         self.records.clone()
     }
 
-    /// The newest configuration.
+    /// The newest known configuration.
     pub fn config(&self) -> Option<Rc<Config>> {
         self.config.clone()
     }
 
-    /// The newest list of core machines.
+    /// The newest known list of core machines.
     pub fn core_list(&self) -> Option<Rc<CoreList>> {
-        self.core.clone()
+        self.core_list.clone()
     }
 
-    /// Takes a list of core machines if it is newer; tells whether it was.
+    /// Stores a list of core machines if it is newer than the present one; returns whether it was.
     pub fn update_core_list(&mut self, core: CoreList) -> bool {
-        let newer = self.core.as_ref().is_none_or(|known| known.round < core.round);
+        let newer = self.core_list.as_ref().is_none_or(|known| known.round < core.round);
         if newer {
-            self.core = Some(Rc::new(core));
+            self.core_list = Some(Rc::new(core));
         }
         newer
     }
 
-    /// The versions that are here.
+    /// Versions of all stored records, by source.
     pub fn vector(&self) -> VersionVector {
         self.records.iter().map(|(source, record)| (source.clone(), record.version)).collect()
     }
 
-    /// The same for two boards that have the same, and hardly ever for others: a look costs less than a vector.
+    /// Hash of all versions in this state. Equal states have equal digests, and different states almost always differ;
+    /// comparing digests is cheaper than sending a version vector.
     pub fn digest(&self) -> u64 {
-        let mut hasher = Fnv::default();
+        let mut hasher = FnvHasher::default();
         for (source, record) in self.records.iter() {
             hasher.write(source.as_bytes());
             hasher.write_u64(record.version.incarnation);
             hasher.write_u64(record.version.revision);
         }
         hasher.write_u64(self.config.as_ref().map_or(0, |c| u64::from(c.edition) + 1));
-        hasher.write_u64(self.core.as_ref().map_or(0, |core| core.round + 1));
+        hasher.write_u64(self.core_list.as_ref().map_or(0, |core| core.round + 1));
         hasher.finish()
     }
 
-    /// Takes what is newer; tells which sources changed.
+    /// Stores the records that are newer than the present ones; returns the sources whose records changed.
     pub fn merge(&mut self, records: Vec<Record>) -> Vec<String> {
         let mut changed = Vec::new();
         for record in records {
             let known = self.records.get(&record.source);
-            // One of the same list may have come before.
+            // The same list may contain several records of one source.
             let newer = known.is_none_or(|known| known.version < record.version);
-            if newer && (known.is_some() || self.records.len() < MOST_RECORDS) {
+            if newer && (known.is_some() || self.records.len() < MAX_RECORDS) {
                 changed.push(record.source.clone());
                 Rc::make_mut(&mut self.records).insert(record.source.clone(), Rc::new(record));
             }
@@ -139,14 +140,14 @@
         changed
     }
 
-    /// Forgets sources.
-    pub fn remove_where(&mut self, gone: impl Fn(&Record) -> bool) {
-        if self.records.values().any(|r| gone(r)) {
-            Rc::make_mut(&mut self.records).retain(|_, r| !gone(r));
+    /// Removes the records that match a predicate.
+    pub fn remove_where(&mut self, matches: impl Fn(&Record) -> bool) {
+        if self.records.values().any(|r| matches(r)) {
+            Rc::make_mut(&mut self.records).retain(|_, r| !matches(r));
         }
     }
 
-    /// Takes a configuration if it is newer; tells whether it was.
+    /// Stores a configuration if it is newer than the present one; returns whether it was.
     pub fn update_config(&mut self, config: Config) -> bool {
         let newer = self.config.as_ref().is_none_or(|c| c.edition < config.edition);
         if newer {
@@ -155,17 +156,20 @@
         newer
     }
 
-    /// What somebody lacks who has this.
+    /// The response to a pull: everything here that is newer than what the requester has.
     pub fn response_to(&self, pull: &Pull) -> PullResponse {
-        let lacks = |r: &&Rc<Record>| {
+        let is_newer_record = |r: &&Rc<Record>| {
             r.source != pull.source && pull.vector.get(&r.source).is_none_or(|v| *v < r.version)
         };
-        let records = self.records.values().filter(lacks).map(|r| (**r).clone()).collect();
-        let known = pull.config_version.max(pull.offered_version);
-        let offered_version =
-            self.config.as_ref().map(|config| config.edition).filter(|edition| known < Some(*edition));
-        let newer = |core: &&CoreList| pull.core_round.is_none_or(|round| round < core.round);
-        let core_list = self.core.as_deref().filter(newer).cloned();
+        let records = self.records.values().filter(is_newer_record).map(|r| (**r).clone()).collect();
+        let known_version = pull.config_version.max(pull.offered_version);
+        let offered_version = self
+            .config
+            .as_ref()
+            .map(|config| config.edition)
+            .filter(|edition| known_version < Some(*edition));
+        let is_newer_list = |core: &&CoreList| pull.core_round.is_none_or(|round| round < core.round);
+        let core_list = self.core_list.as_deref().filter(is_newer_list).cloned();
         let requester_version = self.records.get(&pull.source).map(|r| r.version);
         PullResponse { records, offered_version, core_list, requester_version, out_of_contact: false }
     }
--- a/mesh/discovery/src/record.rs
+++ b/mesh/discovery/src/record.rs
@@ -1,74 +1,74 @@
-//! What is known of a process of the mesh.
+//! The record that a process of the mesh publishes about itself.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// The version of a record: in which life of its source it was made, and the how-manieth it was there.
+/// Version of a record: the incarnation of its source, and the revision within that incarnation. A greater version is newer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Version {
-    /// Goes up from one start of the source to the next.
+    /// Increases with every start of the source process.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Goes up with every change.
+    /// Increases with every change of the record within one incarnation.
     #[serde(rename = "change")]
     pub revision: u64,
 }
 
-/// The versions that somebody has, by source.
+/// The record versions that a process has, by source.
 pub type VersionVector = BTreeMap<String, Version>;
 
-/// How an upstream is, by its own word and its balancer's.
+/// Condition of an upstream, as the upstream reports it and its balancer observes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Condition {
-    /// Takes requests.
+    /// The upstream accepts requests.
     Accepting,
-    /// Finishes what it has.
+    /// The upstream finishes its requests and accepts no new ones.
     Closing,
-    /// Can't be reached by its balancer, or has ended.
+    /// The upstream cannot be reached by its balancer, or has stopped.
     Down,
 }
 
-/// An upstream as its balancer tells of it.
+/// An upstream as its balancer publishes it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Upstream {
-    /// Its life.
+    /// Identifier of the upstream instance; a restarted upstream has a new one.
     pub id: String,
-    /// Its service.
+    /// Name of the service that the upstream belongs to.
     pub service: String,
-    /// The version of its software.
+    /// Version of the upstream's software.
     #[serde(rename = "edition")]
     pub software_version: String,
-    /// Requests that it works on at once.
+    /// Number of requests that the upstream processes concurrently.
     pub slots: u32,
-    /// How it is.
+    /// Whether the upstream accepts requests.
     pub condition: Condition,
-    /// Until when it is slow, in Unix microseconds; nothing where it is not.
+    /// End of the upstream's warm-up, in Unix microseconds; `None` if it started warm.
     #[serde(rename = "cold_until")]
     pub cold_until_micros: Option<u64>,
 }
 
-/// What a process tells of itself.
+/// What a process of the mesh publishes about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Its machine's name.
+    /// Node name of the process, which identifies the record.
     pub source: String,
-    /// The version.
+    /// Version of this record.
     pub version: Version,
-    /// Where processes of the mesh reach it.
+    /// Address at which other processes of the mesh reach the process.
     #[serde(rename = "mesh")]
     pub mesh_address: SocketAddr,
-    /// Its zone.
+    /// Name of the zone that the process runs in.
     pub zone: String,
-    /// It serves control.
+    /// Whether the process is a core machine, which runs the control plane.
     #[serde(rename = "core")]
     pub is_core: bool,
-    /// It is about to end.
+    /// Whether the process is shutting down.
     pub leaving: bool,
-    /// Where requests for its upstream go.
+    /// Address that accepts requests for the upstream; `None` for a process without an upstream.
     #[serde(rename = "incoming")]
     pub incoming_address: Option<SocketAddr>,
-    /// Its upstream.
+    /// The upstream beside the process, once it has reported itself.
     pub upstream: Option<Upstream>,
 }
--- a/mesh/discovery/src/rendezvous.rs
+++ b/mesh/discovery/src/rendezvous.rs
@@ -1,19 +1,19 @@
-//! Rendezvous hashing: everybody picks the same few of many, by who asks.
+//! Rendezvous hashing: selects the same few candidates for a given chooser in every process.
 
 use std::hash::Hasher;
 
-/// FNV-1a, the same in every build.
-pub(crate) struct Fnv(u64);
+/// FNV-1a hasher with a final mixing step; gives the same hashes in every build.
+pub(crate) struct FnvHasher(u64);
 
-impl Default for Fnv {
-    fn default() -> Fnv {
-        Fnv(0xcbf2_9ce4_8422_2325)
+impl Default for FnvHasher {
+    fn default() -> FnvHasher {
+        FnvHasher(0xcbf2_9ce4_8422_2325)
     }
 }
 
-impl Hasher for Fnv {
+impl Hasher for FnvHasher {
     fn finish(&self) -> u64 {
-        // Mixed once more: names that differ in their last letter only would stay near each other.
+        // Without this mixing step, names that differ only in their last character would get similar hashes.
         let mut x = self.0;
         x = (x ^ (x >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
         x = (x ^ (x >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
@@ -27,19 +27,25 @@
     }
 }
 
-/// The weight of a candidate for one that picks.
-pub fn weight(me: &str, candidate: &str) -> u64 {
-    let mut hasher = Fnv::default();
-    hasher.write(me.as_bytes());
+/// Weight of a candidate for a chooser, uniform over all `u64` values.
+pub fn weight(chooser: &str, candidate: &str) -> u64 {
+    let mut hasher = FnvHasher::default();
+    hasher.write(chooser.as_bytes());
     hasher.write_u8(0);
     hasher.write(candidate.as_bytes());
     hasher.finish()
 }
 
-/// The `count` candidates of most weight, heaviest first. Few picks change when a candidate comes or goes.
-pub fn top_candidates<'a>(me: &str, candidates: impl Iterator<Item = &'a str>, count: usize) -> Vec<&'a str> {
-    let mut weighed: Vec<(u64, &str)> = candidates.filter(|c| *c != me).map(|c| (weight(me, c), c)).collect();
-    weighed.sort_unstable_by(|a, b| b.cmp(a));
-    weighed.dedup();
-    weighed.into_iter().take(count).map(|(_, c)| c).collect()
+/// The `count` candidates with the greatest weight for the chooser, greatest first, without the chooser itself. When a
+/// candidate is added or removed, few choosers select other candidates.
+pub fn top_candidates<'a>(
+    chooser: &str,
+    candidates: impl Iterator<Item = &'a str>,
+    count: usize,
+) -> Vec<&'a str> {
+    let mut weighted: Vec<(u64, &str)> =
+        candidates.filter(|c| *c != chooser).map(|c| (weight(chooser, c), c)).collect();
+    weighted.sort_unstable_by(|a, b| b.cmp(a));
+    weighted.dedup();
+    weighted.into_iter().take(count).map(|(_, c)| c).collect()
 }
