--- a/mesh/data-plane/src/admission.rs
+++ b/mesh/data-plane/src/admission.rs
@@ -1,115 +1,119 @@
-//! The way to this machine's upstream, without I/O: how many requests are with it, who waits, and who is turned away
-//! before the upstream is touched. Only requests that pass here reach it, so that what is counted here is all there is.
+//! Admission control for this machine's upstream, without I/O: counts the requests at the upstream, queues further ones,
+//! and rejects those that cannot be served in time. All requests to the upstream pass through here, so that the count of
+//! requests in flight is complete.
 
 use std::collections::BTreeMap;
 
-/// Microseconds.
+/// A duration or a point in time, in microseconds.
 pub type Micros = u64;
 
-/// Weight of the newest figure in the mean.
-const NEWEST: f64 = 0.05;
-/// Most requests that wait, for each slot.
-const MOST_WAITING: usize = 16;
-/// Most kinds of requests whose means are kept apart; those beyond share the last.
-const MOST_KINDS: usize = 32;
-/// So long before its sender stops waiting, a request that waits is turned away: the word must be there in time.
-const WORD: Micros = 20_000;
-/// Part of the longest mean under which a kind of request is short.
-const SHORT: f64 = 0.4;
-/// Weight of the newest outcome in the part of late requests that are let through in the end.
-const NEWEST_LATE: f64 = 0.1;
-/// Under this part late requests are turned away at once, but for one that shows whether there is room for them again.
-const LEAST_LATE: f64 = 0.5;
-/// Part of the mean that is left to a request at the least when it is let through.
-const LEAST_LEFT: f64 = 1.3;
+/// Weight of the newest sample in the moving averages of processing times.
+const MEAN_UPDATE_WEIGHT: f64 = 0.05;
+/// Maximum number of queued requests per slot of the upstream.
+const MAX_QUEUED_PER_SLOT: usize = 16;
+/// Maximum number of request kinds with a mean processing time of their own; all further kinds share the last one.
+const MAX_KINDS: usize = 32;
+/// A queued request is rejected at least this long before its sender stops waiting, so that the rejection arrives in time.
+const REJECTION_LEAD_MICROS: Micros = 20_000;
+/// A kind of requests is short if its mean processing time is at most this fraction of the longest mean.
+const SHORT_KIND_RATIO: f64 = 0.4;
+/// Weight of the newest outcome in the share of late requests that are admitted in the end.
+const LATE_UPDATE_WEIGHT: f64 = 0.1;
+/// If a smaller share of late requests is admitted, late requests are rejected on arrival, except for one that stays
+/// queued to detect when there is room for them again.
+const MIN_LATE_ADMISSION_SHARE: f64 = 0.5;
+/// Time that a request must have left when it is admitted, as a multiple of the mean processing time of its kind.
+const MIN_TIME_LEFT_RATIO: f64 = 1.3;
 
-/// What becomes of a request that has arrived.
+/// Decision on a request that has arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It goes on.
-    Go,
-    /// It waits under this number until [`AdmissionQueue::complete`] or [`AdmissionQueue::expire`] names it.
-    Wait(u64),
-    /// It is turned away; there may be room after so long.
-    Full(Micros),
-    /// The upstream takes nothing new.
+    /// The request is forwarded to the upstream now.
+    Admit,
+    /// The request is queued under this number until [`AdmissionQueue::complete`], [`AdmissionQueue::admit_queued`] or
+    /// [`AdmissionQueue::expire`] returns the number.
+    Queue(u64),
+    /// The request is rejected; there may be room after this time.
+    Reject(Micros),
+    /// The request is rejected because the upstream accepts no new requests.
     Closed,
 }
 
-/// The upstream as its balancer knows it.
+/// State of the upstream, as its balancer knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Nothing is known of it yet, or it is gone.
+    /// The upstream has not reported itself yet, or is gone.
     Absent,
-    /// It takes requests.
+    /// The upstream accepts requests.
     Open,
-    /// It finishes what it has.
+    /// The upstream finishes its requests and those that are queued, and accepts no new ones.
     Closing,
 }
 
-/// A request as it arrives.
+/// What admission control needs to know about a request that arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// Requests of one kind take about as long: what its route says of it.
+    /// Identifies requests of similar processing time; derived from the request's route.
     pub kind: u64,
-    /// What its route says of its urgency; 0 is the highest.
+    /// Priority of the request's route; 0 is the highest.
     pub priority: u8,
-    /// How long until its aim.
+    /// Time until the latency target of the request.
     pub time_to_target: Micros,
-    /// How long its sender waits.
+    /// How much longer the sender waits for a response.
     pub time_left: Micros,
-    /// How long it may wait here.
+    /// Maximum time in the queue.
     pub max_wait: Micros,
-    /// How long its answer will wait for the link; zero for a short one.
+    /// How long the response will wait for the link; zero for a short response.
     pub link_wait: Micros,
-    /// How long its answer then takes on the link; zero for a short one.
+    /// How long the transmission of the response then takes; zero for a short response.
     pub link_time: Micros,
 }
 
 impl Arrival {
-    /// How long its answer is on its way.
-    fn on_link(&self) -> Micros {
+    /// Time from the end of processing until the response has left on the link.
+    fn response_time(&self) -> Micros {
         self.link_wait.saturating_add(self.link_time)
     }
 }
 
-/// A request that waits.
+/// A request in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Waiting {
+struct QueuedRequest {
+    /// Index of the request's kind in `AdmissionQueue::kinds`.
     kind: usize,
-    /// When it must be let through to be in time for its aim.
-    aim: Micros,
-    /// When it is turned away.
-    last: Micros,
+    /// When the request must be admitted to meet its latency target.
+    target_start: Micros,
+    /// When the request is rejected if it has not been admitted.
+    expires_at: Micros,
 }
 
-/// Where a request stands in the queue: the fields are compared one after the other, and the least goes first.
+/// Position of a request in the queue. Positions are compared field by field, and the smallest is admitted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
-    /// Those in time for their aims go before those that are late.
+struct QueuePosition {
+    /// Requests that can meet their latency targets are admitted before those that are late.
     late: bool,
-    /// The more urgent goes first.
-    rank: u8,
-    /// What is short beside the others goes before them: whoever waits for it holds a place elsewhere.
+    /// Requests with a smaller number are admitted first.
+    priority: u8,
+    /// Requests of a short kind are admitted before long ones: their senders hold a slot elsewhere while they wait.
     long: bool,
-    /// When it must go.
-    by: Micros,
-    /// Its number, in the order of arrival.
+    /// When the request must be admitted.
+    admit_by: Micros,
+    /// Number of the request, in the order of arrival.
     number: u64,
 }
 
-/// The gate.
+/// Decides which requests go to this machine's upstream, in which order, and which are rejected.
 #[derive(Debug)]
 pub struct AdmissionQueue {
     state: State,
     slots: usize,
     in_flight: usize,
-    next: u64,
-    queue: BTreeMap<Place, Waiting>,
-    /// Kinds and their mean time with the upstream.
+    next_number: u64,
+    queue: BTreeMap<QueuePosition, QueuedRequest>,
+    /// Request kinds with their mean processing times at the upstream, in microseconds.
     kinds: Vec<(u64, f64)>,
-    /// Part of the late requests that are let through, of late.
-    late_through: f64,
+    /// Moving average of the share of late requests that are admitted.
+    late_admission_share: f64,
 }
 
 impl Default for AdmissionQueue {
@@ -118,188 +122,201 @@
             state: State::Absent,
             slots: 1,
             in_flight: 0,
-            next: 0,
+            next_number: 0,
             queue: BTreeMap::new(),
             kinds: Vec::new(),
-            late_through: 1.0,
+            late_admission_share: 1.0,
         }
     }
 }
 
 impl AdmissionQueue {
-    /// The upstream is so from now on, and works on so many requests at once.
+    /// Sets the state of the upstream and the number of requests that it processes concurrently.
     pub fn set_upstream(&mut self, state: State, slots: usize) {
         self.state = state;
         self.slots = slots.max(1);
     }
 
-    /// Nothing that waits now is let through after this moment: an upstream that closes gets nothing late.
-    pub fn close_by(&mut self, moment: Micros) {
-        self.queue.values_mut().for_each(|w| w.last = w.last.min(moment));
+    /// Lets all requests that are queued now expire at this time or earlier, so that a closing upstream receives no late
+    /// requests.
+    pub fn limit_expiry(&mut self, latest: Micros) {
+        self.queue.values_mut().for_each(|r| r.expires_at = r.expires_at.min(latest));
     }
 
-    /// How the upstream is.
+    /// State of the upstream.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// Requests that are with the upstream.
+    /// Number of requests at the upstream.
     pub fn in_flight(&self) -> usize {
         self.in_flight
     }
 
-    /// Requests that wait.
+    /// Number of requests in the queue.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// Neither.
+    /// Whether no request is queued or at the upstream.
     pub fn is_idle(&self) -> bool {
         self.in_flight == 0 && self.queue.is_empty()
     }
 
-    /// The number of a kind.
-    fn kind(&mut self, kind: u64) -> usize {
+    /// Index of a request kind in the list of kinds. Adds the kind while the list has room.
+    fn kind_index(&mut self, kind: u64) -> usize {
         match self.kinds.iter().position(|(k, _)| *k == kind) {
             Some(at) => at,
-            None if self.kinds.len() < MOST_KINDS => {
+            None if self.kinds.len() < MAX_KINDS => {
                 self.kinds.push((kind, 0.0));
                 self.kinds.len() - 1
             }
-            None => MOST_KINDS - 1,
+            None => MAX_KINDS - 1,
         }
     }
 
+    /// Mean processing time of the kind with this index, in microseconds; zero while there is no sample.
     fn mean(&self, kind: usize) -> f64 {
         self.kinds.get(kind).map_or(0.0, |(_, mean)| *mean)
     }
 
-    fn longest(&self) -> f64 {
+    /// The longest mean processing time of all kinds, in microseconds.
+    fn longest_mean(&self) -> f64 {
         self.kinds.iter().map(|(_, mean)| *mean).fold(0.0, f64::max)
     }
 
-    /// It is not short beside the others.
+    /// Whether requests of a kind take long compared to the kind with the longest mean.
     fn is_long(&self, kind: usize) -> bool {
-        self.mean(kind) > SHORT * self.longest()
+        self.mean(kind) > SHORT_KIND_RATIO * self.longest_mean()
     }
 
-    fn has_room(&self) -> bool {
+    fn has_free_slot(&self) -> bool {
         self.in_flight < self.slots
     }
 
-    /// About how long until a request is let through that has so much work before it.
-    fn wait(&self, work: f64) -> f64 {
-        // One of those at work ends after its part of a mean; all means are taken for alike there.
-        (work + 0.5 * self.longest()) / self.slots as f64
+    /// Expected time until a request is admitted, given the total processing time of the requests ahead of it.
+    fn expected_wait(&self, work_ahead: f64) -> f64 {
+        // Each request in flight is assumed to need half of the longest mean to complete, whatever its kind.
+        (work_ahead + 0.5 * self.longest_mean()) / self.slots as f64
     }
 
-    /// A request arrives.
+    /// Decides on a request that arrives at the time `now`.
     pub fn arrive(&mut self, now: Micros, arrival: Arrival) -> Verdict {
         if self.state != State::Open {
             return Verdict::Closed;
         }
-        let (kind, rank) = (self.kind(arrival.kind), arrival.priority);
+        let (kind, priority) = (self.kind_index(arrival.kind), arrival.priority);
         let mean = self.mean(kind);
-        let on_link = arrival.on_link();
-        // An answer that the link would carry too late takes it from those that are in time: one without a chance is
-        // worked on only where next to nothing waits for the link.
+        let response_time = arrival.response_time();
+        // A late response on the link delays responses that are in time. A request that will miss its target anyway is
+        // therefore only admitted while hardly anything waits for the link.
         let too_late =
-            mean as Micros + on_link > arrival.time_to_target && arrival.link_wait > arrival.link_time;
-        if too_late || on_link > arrival.time_left {
-            return Verdict::Full(arrival.link_wait.max(1_000));
+            mean as Micros + response_time > arrival.time_to_target && arrival.link_wait > arrival.link_time;
+        if too_late || response_time > arrival.time_left {
+            return Verdict::Reject(arrival.link_wait.max(1_000));
         }
-        if self.queue.is_empty() && self.has_room() {
+        if self.queue.is_empty() && self.has_free_slot() {
             self.in_flight += 1;
-            return Verdict::Go;
+            return Verdict::Admit;
         }
         let long = self.is_long(kind);
-        let aim = now + arrival.time_to_target.saturating_sub(mean as Micros + on_link);
-        let in_time = Place { late: false, rank, long, by: aim, number: u64::MAX };
-        let wait_in_time = self.wait(self.ahead(in_time));
-        // Whoever is late for its aim waits behind all that are not; but what is short beside the others delays nobody.
-        let late = long && wait_in_time + mean + on_link as f64 > arrival.time_to_target as f64;
-        let behind = Place { late: true, by: now + arrival.time_left, ..in_time };
-        let wait = if late { self.wait(self.ahead(behind)) } else { wait_in_time };
-        let needed = WORD.max((mean * LEAST_LEFT) as Micros) + on_link;
-        let last = arrival.time_left.saturating_sub(needed).min(arrival.max_wait);
-        // What comes in time takes all places for now: a late one would wait in vain.
-        let in_vain = late && self.late_through < LEAST_LATE && self.queue.keys().any(|place| place.late);
-        if in_vain || wait > last as f64 || last == 0 || self.queue.len() >= MOST_WAITING * self.slots {
-            return Verdict::Full((wait as Micros).max(1_000));
+        let target_start = now + arrival.time_to_target.saturating_sub(mean as Micros + response_time);
+        let in_time = QueuePosition { late: false, priority, long, admit_by: target_start, number: u64::MAX };
+        let wait_in_time = self.expected_wait(self.work_ahead(in_time));
+        // Requests that will miss their targets wait behind all others, except for short ones, which delay nobody.
+        let late = long && wait_in_time + mean + response_time as f64 > arrival.time_to_target as f64;
+        let behind = QueuePosition { late: true, admit_by: now + arrival.time_left, ..in_time };
+        let wait = if late { self.expected_wait(self.work_ahead(behind)) } else { wait_in_time };
+        let needed = REJECTION_LEAD_MICROS.max((mean * MIN_TIME_LEFT_RATIO) as Micros) + response_time;
+        let wait_limit = arrival.time_left.saturating_sub(needed).min(arrival.max_wait);
+        // While requests that are in time take all slots, a late request would only wait until it expires.
+        let hopeless = late
+            && self.late_admission_share < MIN_LATE_ADMISSION_SHARE
+            && self.queue.keys().any(|position| position.late);
+        if hopeless
+            || wait > wait_limit as f64
+            || wait_limit == 0
+            || self.queue.len() >= MAX_QUEUED_PER_SLOT * self.slots
+        {
+            return Verdict::Reject((wait as Micros).max(1_000));
         }
-        let number = self.next;
-        self.next += 1;
-        let waiting = Waiting { kind, aim, last: now + last };
-        let by = if late { waiting.last } else { aim };
-        self.queue.insert(Place { late, rank, long, by, number }, waiting);
-        Verdict::Wait(number)
+        let number = self.next_number;
+        self.next_number += 1;
+        let request = QueuedRequest { kind, target_start, expires_at: now + wait_limit };
+        let admit_by = if late { request.expires_at } else { target_start };
+        self.queue.insert(QueuePosition { late, priority, long, admit_by, number }, request);
+        Verdict::Queue(number)
     }
 
-    /// The work of all that go before a place.
-    fn ahead(&self, place: Place) -> f64 {
-        self.queue.range(..place).map(|(_, w)| self.mean(w.kind)).sum()
+    /// Total mean processing time of all queued requests ahead of a position, in microseconds.
+    fn work_ahead(&self, position: QueuePosition) -> f64 {
+        self.queue.range(..position).map(|(_, r)| self.mean(r.kind)).sum()
     }
 
-    /// A request of this kind that was let through is over; it took so long, where that tells something. Those named go on
-    /// now.
+    /// Records that an admitted request of this kind has ended, with its processing time if that is representative. Returns
+    /// the numbers of the queued requests that are admitted now.
     pub fn complete(&mut self, now: Micros, kind: u64, took: Option<Micros>) -> Vec<u64> {
         self.in_flight = self.in_flight.saturating_sub(1);
         if let Some(took) = took {
-            let kind = self.kind(kind);
+            let kind = self.kind_index(kind);
             let mean = &mut self.kinds[kind].1;
-            *mean = if *mean == 0.0 { took as f64 } else { *mean + NEWEST * (took as f64 - *mean) };
+            *mean =
+                if *mean == 0.0 { took as f64 } else { *mean + MEAN_UPDATE_WEIGHT * (took as f64 - *mean) };
         }
-        self.fill(now)
+        self.admit_queued(now)
     }
 
-    /// Those that go on now.
-    pub fn fill(&mut self, now: Micros) -> Vec<u64> {
-        let mut go = Vec::new();
-        while self.has_room() && self.state != State::Absent {
-            let Some(place) = self.queue.keys().next().copied() else { break };
-            let Some(waiting) = self.queue.remove(&place) else { break };
-            if !place.late && waiting.aim < now && self.is_long(waiting.kind) {
-                // Too late for its aim by now: behind those that are not.
-                self.queue.insert(Place { late: true, by: waiting.last, ..place }, waiting);
+    /// Admits queued requests while there are free slots, and returns their numbers.
+    pub fn admit_queued(&mut self, now: Micros) -> Vec<u64> {
+        let mut admitted = Vec::new();
+        while self.has_free_slot() && self.state != State::Absent {
+            let Some(position) = self.queue.keys().next().copied() else { break };
+            let Some(request) = self.queue.remove(&position) else { break };
+            if !position.late && request.target_start < now && self.is_long(request.kind) {
+                // The request can no longer meet its target and moves behind those that can.
+                self.queue
+                    .insert(QueuePosition { late: true, admit_by: request.expires_at, ..position }, request);
                 continue;
             }
-            if waiting.last <= now {
-                // Told by expire.
-                self.queue.insert(place, waiting);
+            if request.expires_at <= now {
+                // The next call of `expire` returns this request.
+                self.queue.insert(position, request);
                 break;
             }
             self.in_flight += 1;
-            self.learn_late(place, true);
-            go.push(place.number);
+            self.record_late_outcome(position, true);
+            admitted.push(position.number);
         }
-        go
+        admitted
     }
 
-    /// Takes out those that can't be served in time any more, or at all, and names them.
+    /// Removes the queued requests that have expired, or all if the upstream is absent, and returns their numbers.
     pub fn expire(&mut self, now: Micros) -> Vec<u64> {
-        let gone = self.state == State::Absent;
-        let late = |w: &Waiting| gone || w.last <= now;
-        let places: Vec<Place> = self.queue.iter().filter(|(_, w)| late(w)).map(|(key, _)| *key).collect();
-        self.queue.retain(|_, w| !late(w));
-        places.iter().for_each(|place| self.learn_late(*place, false));
-        places.into_iter().map(|place| place.number).collect()
+        let absent = self.state == State::Absent;
+        let expired = |r: &QueuedRequest| absent || r.expires_at <= now;
+        let positions: Vec<QueuePosition> =
+            self.queue.iter().filter(|(_, r)| expired(r)).map(|(position, _)| *position).collect();
+        self.queue.retain(|_, r| !expired(r));
+        positions.iter().for_each(|position| self.record_late_outcome(*position, false));
+        positions.into_iter().map(|position| position.number).collect()
     }
 
-    /// A request that stood here was let through, or waited in vain.
-    fn learn_late(&mut self, place: Place, through: bool) {
-        if place.late {
-            self.late_through += NEWEST_LATE * (f64::from(u8::from(through)) - self.late_through);
+    /// Updates the share of late requests that are admitted, if the request at this position was late.
+    fn record_late_outcome(&mut self, position: QueuePosition, admitted: bool) {
+        if position.late {
+            self.late_admission_share +=
+                LATE_UPDATE_WEIGHT * (f64::from(u8::from(admitted)) - self.late_admission_share);
         }
     }
 
-    /// Whoever waited under this number has left.
-    pub fn forget(&mut self, number: u64) {
-        let place = self.queue.keys().find(|place| place.number == number).copied();
-        place.and_then(|place| self.queue.remove(&place));
+    /// Removes a queued request whose sender has disconnected.
+    pub fn remove(&mut self, number: u64) {
+        let position = self.queue.keys().find(|position| position.number == number).copied();
+        position.and_then(|position| self.queue.remove(&position));
     }
 
-    /// When the first of those that wait is to be turned away.
-    pub fn due(&self) -> Option<Micros> {
-        self.queue.values().map(|w| w.last).min()
+    /// When the first of the queued requests expires.
+    pub fn next_expiry(&self) -> Option<Micros> {
+        self.queue.values().map(|r| r.expires_at).min()
     }
 }
--- a/mesh/data-plane/src/core_client.rs
+++ b/mesh/data-plane/src/core_client.rs
@@ -1,6 +1,5 @@
-//! Calls to the core: of one machine, and of the next when that one does not answer. While no machine answers, one call at a
-//! time tries again and all others wait for its success: a core that has trouble is not given more work by those that wait
-//! for it.
+//! Calls to the core, with failover from one core machine to the next. While no machine answers, only one call at a time
+//! retries and all others wait for it to succeed, so that waiting calls do not add load to a core in trouble.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -15,29 +14,32 @@
 
 use crate::metrics;
 
-/// How long one machine is waited for before the next is asked.
-const PATIENCE: Duration = Duration::from_millis(600);
-/// Pause between tries while no machine answers: the first, and the longest that it grows to.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_millis(300);
+/// Time limit for the response of one machine before the next one is asked.
+const MACHINE_TIMEOUT: Duration = Duration::from_millis(600);
+/// First pause between probes while no machine answers; doubles with every failure up to [`MAX_PROBE_PAUSE`].
+const MIN_PROBE_PAUSE: Duration = Duration::from_millis(100);
+/// Longest pause between probes while no machine answers.
+const MAX_PROBE_PAUSE: Duration = Duration::from_millis(300);
 
-/// No machine answered.
-struct NoAnswer {
+/// The failure of a call because no machine answered.
+struct CallFailure {
     error: anyhow::Error,
-    /// A machine refused, broke off, or had all the time that it is given.
+    /// Whether a machine refused, disconnected, or did not answer within [`MACHINE_TIMEOUT`]. A call that ended earlier
+    /// says nothing about the core.
     conclusive: bool,
 }
 
-/// The way to the core.
+/// Sends calls to the core machines.
 pub struct CoreClient {
-    /// The one asked first is the first.
+    /// Connections to the core machines, in the order in which they are asked.
     links: RefCell<Vec<Rc<Link>>>,
-    /// Whether a machine answered when one was last asked.
+    /// Whether a machine answered the last conclusive call.
     reachable: watch::Sender<bool>,
-    /// Held by the call that tries whether the core is back.
+    /// Held by the call that probes whether the core answers again.
     probe: Semaphore,
-    /// When that is tried next, and how long after the last try that is.
+    /// Time of the next probe.
     next_probe: Cell<Instant>,
+    /// Pause before the probe after the next failure.
     pause: Cell<Duration>,
 }
 
@@ -48,13 +50,13 @@
             reachable: watch::Sender::new(true),
             probe: Semaphore::new(1),
             next_probe: Cell::new(Instant::now()),
-            pause: Cell::new(FIRST_PAUSE),
+            pause: Cell::new(MIN_PROBE_PAUSE),
         }
     }
 }
 
 impl CoreClient {
-    /// The core machines, the nearest first.
+    /// Sets the addresses of the core machines, nearest first. Existing connections are reused.
     pub fn set_machines(&self, addresses: &[SocketAddr]) {
         let mut links = self.links.borrow_mut();
         let known = std::mem::take(&mut *links);
@@ -65,29 +67,30 @@
         *links = addresses.iter().map(link).collect();
     }
 
-    /// The answer of a core machine, if there is one before `until`. Without one the call may have been taken.
-    pub async fn call(&self, ask: &RpcRequest, until: Instant) -> Result<RpcResponse> {
+    /// Calls the core until a machine answers or the deadline has passed. After an error a machine may nevertheless
+    /// have executed the call.
+    pub async fn call(&self, request: &RpcRequest, deadline: Instant) -> Result<RpcResponse> {
         loop {
-            let _probing = self.turn(until).await?;
-            let why = match self.ask_each(ask, until).await {
-                Ok(told) => {
+            let _probe_permit = self.wait_for_turn(deadline).await?;
+            let failure = match self.ask_each(request, deadline).await {
+                Ok(response) => {
                     self.set_reachable(true);
-                    return Ok(told);
+                    return Ok(response);
                 }
-                Err(why) => why,
+                Err(failure) => failure,
             };
-            // A call that had no time for an answer tells nothing of the core.
-            if why.conclusive {
+            // A call that ended before the machines had time to answer says nothing about the core.
+            if failure.conclusive {
                 self.set_reachable(false);
             }
-            if Instant::now() >= until {
-                return Err(why.error);
+            if Instant::now() >= deadline {
+                return Err(failure.error);
             }
         }
     }
 
-    /// Waits until the core is reachable, or until this call is the one that tries.
-    async fn turn(&self, until: Instant) -> Result<Option<SemaphorePermit<'_>>> {
+    /// Waits until the core is reachable, or until this call may probe whether it is; returns a permit for the probe.
+    async fn wait_for_turn(&self, deadline: Instant) -> Result<Option<SemaphorePermit<'_>>> {
         let mut reachable = self.reachable.subscribe();
         let probe = async {
             let permit = self.probe.acquire().await.ok();
@@ -97,50 +100,53 @@
         tokio::select! {
             biased;
             _ = reachable.wait_for(|reachable| *reachable) => Ok(None),
-            () = sleep_until(until) => Err(anyhow!("core: no machine of it answers")),
+            () = sleep_until(deadline) => Err(anyhow!("core: no core machine answers")),
             permit = probe => Ok(permit),
         }
     }
 
-    /// Asks each machine once, until one answers.
-    async fn ask_each(&self, ask: &RpcRequest, until: Instant) -> Result<RpcResponse, NoAnswer> {
+    /// Asks the machines in order, each once, until one answers.
+    async fn ask_each(&self, request: &RpcRequest, deadline: Instant) -> Result<RpcResponse, CallFailure> {
         let links = self.links.borrow().clone();
-        let mut last = anyhow!("core: no machine of it is known");
+        let mut last_error = anyhow!("core: no core machine is known");
         let mut conclusive = links.is_empty();
         for link in &links {
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let time_left = deadline.saturating_duration_since(Instant::now());
+            if time_left.is_zero() {
                 break;
             }
             metrics::KEY_CALLS.increment();
-            let asked = Instant::now();
-            match link.call(ask, left.min(PATIENCE)).await {
-                Ok(RpcResponse::Unavailable(why)) => last = anyhow!("core {}: {why}", link.address()),
-                Ok(told) => return Ok(told),
-                Err(why) => last = why,
+            let started = Instant::now();
+            match link.call(request, time_left.min(MACHINE_TIMEOUT)).await {
+                Ok(RpcResponse::Unavailable(reason)) => {
+                    last_error = anyhow!("core {}: {reason}", link.address())
+                }
+                Ok(response) => return Ok(response),
+                Err(error) => last_error = error,
             }
-            conclusive |= left >= PATIENCE || asked.elapsed() < left;
+            conclusive |= time_left >= MACHINE_TIMEOUT || started.elapsed() < time_left;
             metrics::KEY_CALLS_FAILED.increment();
-            self.ask_later(link);
+            self.move_to_back(link);
         }
-        Err(NoAnswer { error: last, conclusive })
+        Err(CallFailure { error: last_error, conclusive })
     }
 
-    /// The others are asked before this one from now on.
-    fn ask_later(&self, failed: &Rc<Link>) {
+    /// Moves the machine that is asked first to the end of the order, if it is the one that failed.
+    fn move_to_back(&self, failed: &Rc<Link>) {
         let mut links = self.links.borrow_mut();
         if links.first().is_some_and(|first| Rc::ptr_eq(first, failed)) {
             links.rotate_left(1);
         }
     }
 
+    /// Records whether the core answers, and schedules the next probe if it does not.
     fn set_reachable(&self, reachable: bool) {
         if reachable {
-            self.pause.set(FIRST_PAUSE);
+            self.pause.set(MIN_PROBE_PAUSE);
         } else {
             let pause = self.pause.get();
             self.next_probe.set(Instant::now() + pause);
-            self.pause.set((pause * 2).min(LONGEST_PAUSE));
+            self.pause.set((pause * 2).min(MAX_PROBE_PAUSE));
         }
         self.reachable.send_if_modified(|before| std::mem::replace(before, reachable) != reachable);
     }
--- a/mesh/data-plane/src/front.rs
+++ b/mesh/data-plane/src/front.rs
@@ -1,4 +1,5 @@
-//! Requests of this machine's clients and of its upstream: by which route and service they go, and in which form.
+//! Requests from this machine's clients and its upstream: selects the route and the service, and prepares the headers for the
+//! balancer beside the upstream.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -17,62 +18,66 @@
 use sloeline_route_config::table::Table;
 
 use crate::header_names;
-use crate::patience::Patiences;
-use crate::services::{Lead, Rails};
-
-/// What a refused client is told where nothing better is known, in seconds.
-const AGAIN: &str = "0.25";
-/// Part of its time that a request may wait before it is offered to an upstream: later its client is told in time to come
-/// again.
-const HELD: f64 = 0.45;
-/// Answers are held up to here.
-const MOST_HELD: usize = 64 << 10;
-
-/// The routes of one configuration and what they lead to: swapped whole.
+use crate::request_age::RequestAgeEstimators;
+use crate::services::{MeshTransport, RouteTarget};
+
+/// `Retry-After` value for rejected requests if no better estimate is known, in seconds.
+const DEFAULT_RETRY_AFTER: &str = "0.25";
+/// Share of a request's remaining time that it may wait before it reaches an upstream. After that it is rejected, early
+/// enough for the client to retry.
+const MAX_WAIT_SHARE: f64 = 0.45;
+/// Responses up to this size are buffered whole.
+const MAX_BUFFERED_RESPONSE_BYTES: usize = 64 << 10;
+
+/// The routes of one configuration with their targets.
 pub struct Routes {
-    /// Finds the route.
+    /// Finds the route of a request.
     pub table: Table,
-    /// Where each leads.
-    pub leads: Vec<Lead>,
+    /// Target of each route, in the order of the table.
+    pub targets: Vec<RouteTarget>,
 }
 
-/// The front of the `outgoing` address.
+/// Handles the requests that arrive at the `outgoing` address.
 pub struct Outgoing {
+    /// The routes in use, once there is a configuration.
     routes: RefCell<Option<Rc<Routes>>>,
+    /// Service of this machine, sent in the `x-sender` header.
     sender: HeaderValue,
+    /// Limits the memory for request bodies.
     bodies: Rc<Share>,
     clock: Rc<Clock>,
     ready: Cell<bool>,
-    /// By kind of request, how long clients wait in all.
-    patiences: RefCell<Patiences>,
+    /// Estimates how long ago the first try of a request began, by request kind.
+    request_ages: RefCell<RequestAgeEstimators>,
 }
 
 impl Outgoing {
-    /// No configuration yet. `sender` is the service of this machine; bodies take of the share.
+    /// Creates a front without routes. `sender` is the service of this machine, and `bodies` limits the memory for request
+    /// bodies.
     pub fn new(sender: HeaderValue, bodies: Rc<Share>, clock: Rc<Clock>) -> Outgoing {
-        let (routes, ready, patiences) = (RefCell::default(), Cell::new(false), RefCell::default());
-        Outgoing { routes, sender, bodies, clock, ready, patiences }
+        let (routes, ready, request_ages) = (RefCell::default(), Cell::new(false), RefCell::default());
+        Outgoing { routes, sender, bodies, clock, ready, request_ages }
     }
 
-    /// Takes the next request by these routes.
-    pub fn swap(&self, routes: Routes) {
-        self.patiences.borrow_mut().keep(routes.leads.iter().map(|lead| &lead.kind));
+    /// Replaces the routes for all further requests.
+    pub fn set_routes(&self, routes: Routes) {
+        self.request_ages.borrow_mut().retain(routes.targets.iter().map(|target| &target.kind));
         *self.routes.borrow_mut() = Some(Rc::new(routes));
     }
 
-    /// Clients may come from now on, or not.
+    /// Sets whether this balancer reports itself as ready for requests.
     pub fn set_ready(&self, ready: bool) {
         self.ready.set(ready);
     }
 
-    /// Clients may come.
+    /// Whether this balancer reports itself as ready for requests.
     pub fn is_ready(&self) -> bool {
         self.ready.get()
     }
 }
 
-/// A header that may stand once.
-fn once<'a>(
+/// The value of a header that may occur at most once; an error response if it is repeated.
+fn single_header<'a>(
     headers: &'a HeaderMap,
     name: &hyper::header::HeaderName,
 ) -> Result<Option<&'a HeaderValue>, Answered> {
@@ -83,60 +88,62 @@
     }
 }
 
-/// Never run, and never will.
-fn refused(why: &'static str) -> Answered {
-    let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE, why);
-    answer.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static(AGAIN));
-    answer
+/// The response to a request that is rejected before it is sent to an upstream.
+fn rejected(reason: &'static str) -> Answered {
+    let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, reason);
+    response.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static(DEFAULT_RETRY_AFTER));
+    response
 }
 
 impl Front for Outgoing {
-    type Wire = Rails;
-
-    fn admit(&self, head: &Parts, _peer: SocketAddr) -> Result<Admission<Rails>, Answered> {
-        let Some(routes) = self.routes.borrow().clone() else { return Err(refused("no configuration yet")) };
-        let bad = |why: &'static str| plain(StatusCode::BAD_REQUEST, why);
-        let host = once(&head.headers, &HOST)?.and_then(|h| h.to_str().ok()).ok_or_else(|| bad("no Host"))?;
-        let path = head.uri.path_and_query().cloned().ok_or_else(|| bad("no path"))?;
+    type Wire = MeshTransport;
+
+    fn admit(&self, head: &Parts, _peer: SocketAddr) -> Result<Admission<MeshTransport>, Answered> {
+        let Some(routes) = self.routes.borrow().clone() else { return Err(rejected("no configuration yet")) };
+        let bad_request = |reason: &'static str| plain(StatusCode::BAD_REQUEST, reason);
+        let host = single_header(&head.headers, &HOST)?
+            .and_then(|h| h.to_str().ok())
+            .ok_or_else(|| bad_request("no Host"))?;
+        let path = head.uri.path_and_query().cloned().ok_or_else(|| bad_request("no path"))?;
         let found = routes.table.find(host, path.path());
-        let Some((route, lead)) =
-            found.and_then(|at| Some((&routes.table.routes()[at], routes.leads.get(at)?)))
+        let Some((route, target)) =
+            found.and_then(|at| Some((&routes.table.routes()[at], routes.targets.get(at)?)))
         else {
             return Err(plain(StatusCode::NOT_FOUND, "no such route"));
         };
-        let id = once(&head.headers, &header_names::TRY_ID)?;
+        let try_id = single_header(&head.headers, &header_names::TRY_ID)?;
         let keyed = route.route_kind == RouteKind::Tracked;
         if keyed {
-            let key = once(&head.headers, &header_names::OPERATION_KEY)?.filter(|k| !k.is_empty());
-            let key = key.ok_or_else(|| bad("a tracked route wants X-Operation-Key"))?;
+            let key = single_header(&head.headers, &header_names::OPERATION_KEY)?.filter(|k| !k.is_empty());
+            let key = key.ok_or_else(|| bad_request("a tracked route wants X-Operation-Key"))?;
             if key.len() > MAX_KEY_BYTES {
-                return Err(bad("X-Operation-Key is too long"));
+                return Err(bad_request("X-Operation-Key is too long"));
             }
         }
-        let waits = match once(&head.headers, &header_names::TIME_LEFT)? {
+        let client_timeout = match single_header(&head.headers, &header_names::TIME_LEFT)? {
             None => Micros::MAX,
             Some(value) => {
                 let millis = value.to_str().ok().and_then(number);
-                millis.ok_or_else(|| bad("X-Time-Left is no number"))?.saturating_mul(1000)
+                millis.ok_or_else(|| bad_request("X-Time-Left is no number"))?.saturating_mul(1000)
             }
         };
-        let total: u64 = lead.sides.iter().map(|(.., share)| u64::from(*share)).sum();
-        let mut at = match (lead.sides.len(), id) {
+        let total: u64 = target.splits.iter().map(|(.., share)| u64::from(*share)).sum();
+        let mut point = match (target.splits.len(), try_id) {
             (1, _) => 0,
-            (_, Some(id)) => weight("split", id.to_str().unwrap_or_default()) % total.max(1),
+            (_, Some(try_id)) => weight("split", try_id.to_str().unwrap_or_default()) % total.max(1),
             (_, None) => fastrand::u64(..total.max(1)),
         };
-        let side = lead.sides.iter().find(|(.., share)| {
-            let here = lead.sides.len() == 1 || at < u64::from(*share);
-            at = at.saturating_sub(u64::from(*share));
-            here
+        let split = target.splits.iter().find(|(.., share)| {
+            let selected = target.splits.len() == 1 || point < u64::from(*share);
+            point = point.saturating_sub(u64::from(*share));
+            selected
         });
-        let Some((service, class, _)) = side else { return Err(refused("no service")) };
+        let Some((service, class, _)) = split else { return Err(rejected("no service")) };
         if service.engine.ready_upstreams() == 0 {
-            return Err(refused("no upstream"));
+            return Err(rejected("no upstream"));
         }
         let mut headers = end_to_end(&head.headers);
-        for own in [
+        for internal in [
             header_names::ADDRESSEE,
             header_names::SENDER,
             header_names::KEYED,
@@ -150,21 +157,23 @@
             header_names::HOLD,
             header_names::ATTEMPT,
         ] {
-            headers.remove(own);
+            headers.remove(internal);
         }
         headers.insert(header_names::SENDER, self.sender.clone());
-        headers.insert(header_names::KIND, lead.kind.clone());
+        headers.insert(header_names::KIND, target.kind.clone());
         headers.insert(header_names::RANK, HeaderValue::from(route.precedence));
-        let (now, time_left) = (self.clock.now(), waits.min(route.dispatch.timeout.0));
-        // The aim counts from the client's first try.
-        let age = match waits {
+        let (now, time_left) = (self.clock.now(), client_timeout.min(route.dispatch.timeout.0));
+        // The latency target counts from the client's first try.
+        let age = match client_timeout {
             Micros::MAX => 0,
-            _ => self.patiences.borrow_mut().age(&lead.kind, now / 1000, waits / 1000) * 1000,
+            _ => {
+                self.request_ages.borrow_mut().record(&target.kind, now / 1000, client_timeout / 1000) * 1000
+            }
         };
-        let aim = now.saturating_add(route.target.0).saturating_sub(age);
-        headers.insert(header_names::AIM, HeaderValue::from(aim));
-        let hold = (time_left as f64 * HELD) as Micros;
-        headers.insert(header_names::HOLD, HeaderValue::from(now.saturating_add(hold)));
+        let target_at = now.saturating_add(route.target.0).saturating_sub(age);
+        headers.insert(header_names::AIM, HeaderValue::from(target_at));
+        let max_wait = (time_left as f64 * MAX_WAIT_SHARE) as Micros;
+        headers.insert(header_names::HOLD, HeaderValue::from(now.saturating_add(max_wait)));
         headers.insert(header_names::TIME_LEFT, HeaderValue::from(now.saturating_add(time_left)));
         if route.route_kind == RouteKind::Unsafe {
             headers.insert(header_names::ONCE, HeaderValue::from_static("1"));
@@ -183,7 +192,7 @@
             uri: path.into(),
             headers,
             most_body: routes.table.limits().body_bytes.min(usize::MAX as u64) as usize,
-            most_answer: MOST_HELD,
+            most_answer: MAX_BUFFERED_RESPONSE_BYTES,
             bodiless: false,
             id: None,
             bodies: self.bodies.clone(),
@@ -196,8 +205,8 @@
         self.ready.get()
     }
 
-    fn retry_after(&self, wish: Micros) -> Option<HeaderValue> {
-        let wish = if wish == 0 { 250_000 } else { wish };
-        HeaderValue::from_str(&format!("{:.3}", wish as f64 / 1e6)).ok()
+    fn retry_after(&self, wanted: Micros) -> Option<HeaderValue> {
+        let wanted = if wanted == 0 { 250_000 } else { wanted };
+        HeaderValue::from_str(&format!("{:.3}", wanted as f64 / 1e6)).ok()
     }
 }
--- /dev/null
+++ b/mesh/data-plane/src/heartbeats.rs
@@ -0,0 +1,176 @@
+//! Tracks the state of this machine's upstream from its heartbeats, without I/O.
+
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+
+use anyhow::{Context, Result, bail};
+use serde::Deserialize;
+use sloeline_discovery::{Condition, Upstream};
+use sloeline_process_settings::span::Span;
+
+/// Number of ended upstream instances that are remembered, so that their late messages are ignored.
+const MAX_ENDED_IDS: usize = 64;
+/// Maximum number of slots that an upstream may report.
+const MAX_SLOTS: u32 = 65_536;
+
+/// A heartbeat message of an upstream, as it is sent in JSON.
+#[derive(Clone, Debug, Deserialize)]
+pub struct Heartbeat {
+    /// Address at which the upstream accepts requests.
+    pub address: SocketAddr,
+    /// Fixed properties of the upstream.
+    #[serde(rename = "notice")]
+    pub info: UpstreamInfo,
+    /// Present status of the upstream.
+    #[serde(rename = "tracking")]
+    pub status: UpstreamStatus,
+}
+
+/// Fixed properties of an upstream instance.
+#[derive(Clone, Debug, Deserialize)]
+pub struct UpstreamInfo {
+    /// Name of the service that the upstream belongs to.
+    #[serde(rename = "line")]
+    pub service: String,
+    /// Version of the upstream's software; empty if the upstream does not report it.
+    #[serde(default, rename = "edition")]
+    pub software_version: String,
+    /// Number of requests that the upstream processes concurrently.
+    #[serde(rename = "berths")]
+    pub slots: u32,
+}
+
+/// Status of an upstream at the time of a heartbeat.
+#[derive(Clone, Debug, Deserialize)]
+pub struct UpstreamStatus {
+    /// Whether the upstream accepts requests or is shutting down.
+    pub condition: ReportedCondition,
+    /// Increases with every heartbeat of an upstream instance.
+    pub sequence: u64,
+    /// Remaining warm-up time; zero once the upstream is warm.
+    #[serde(default)]
+    pub cold_left: Span,
+}
+
+/// Condition of an upstream, as the upstream itself reports it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
+#[serde(rename_all = "lowercase")]
+pub enum ReportedCondition {
+    /// The upstream accepts requests.
+    Accepting,
+    /// The upstream is shutting down.
+    Closing,
+}
+
+impl Heartbeat {
+    /// Parses a heartbeat from JSON and checks its values.
+    pub fn parse(body: &[u8]) -> Result<Heartbeat> {
+        let heartbeat: Heartbeat = serde_json::from_slice(body).context("parse the heartbeat")?;
+        let slots = heartbeat.info.slots;
+        if slots == 0 || slots > MAX_SLOTS {
+            bail!("notice.berths: found {slots}, expected 1 to {MAX_SLOTS}");
+        }
+        if heartbeat.info.service.is_empty() || heartbeat.info.service.len() > 255 {
+            bail!("notice.line: found {} bytes, expected 1 to 255", heartbeat.info.service.len());
+        }
+        Ok(heartbeat)
+    }
+}
+
+/// The upstream of this machine, as far as it is known from its heartbeats.
+#[derive(Debug, Default)]
+pub struct UpstreamTracker {
+    /// The present upstream instance, its address and the sequence number of its last heartbeat.
+    current: Option<(Upstream, SocketAddr, u64)>,
+    /// Identifiers of ended instances, oldest first.
+    ended_ids: VecDeque<String>,
+}
+
+impl UpstreamTracker {
+    /// The upstream, once it has sent a heartbeat.
+    pub fn upstream(&self) -> Option<&Upstream> {
+        self.current.as_ref().map(|(u, ..)| u)
+    }
+
+    /// Address at which the upstream accepts requests.
+    pub fn address(&self) -> Option<SocketAddr> {
+        self.current.as_ref().map(|(_, address, _)| *address)
+    }
+
+    /// Processes a heartbeat that arrives at the time `now`, in Unix microseconds. Returns whether the known state changed.
+    pub fn record_heartbeat(&mut self, now: u64, id: &str, heartbeat: &Heartbeat) -> bool {
+        if self.ended_ids.iter().any(|ended| ended == id) {
+            return false;
+        }
+        let condition = match heartbeat.status.condition {
+            ReportedCondition::Accepting => Condition::Accepting,
+            ReportedCondition::Closing => Condition::Closing,
+        };
+        let (known, sequence) = match &self.current {
+            Some((upstream, _, sequence)) if upstream.id == id => (Some(upstream), *sequence),
+            _ => (None, 0),
+        };
+        if known.is_some() && heartbeat.status.sequence <= sequence {
+            return false;
+        }
+        // An upstream that has started to close does not accept requests again.
+        let condition = match known.map(|u| u.condition) {
+            Some(Condition::Closing) => Condition::Closing,
+            _ => condition,
+        };
+        // The first heartbeat determines the end of the warm-up; later ones would shift it by their transmission times.
+        let cold_until_micros = match known {
+            Some(upstream) => upstream.cold_until_micros,
+            None => Some(now + heartbeat.status.cold_left.0).filter(|_| heartbeat.status.cold_left.0 > 0),
+        };
+        let upstream = Upstream {
+            id: id.to_owned(),
+            service: heartbeat.info.service.clone(),
+            software_version: heartbeat.info.software_version.clone(),
+            slots: heartbeat.info.slots,
+            condition,
+            cold_until_micros,
+        };
+        let changed = known != Some(&upstream);
+        if known.is_none()
+            && let Some((previous, ..)) = self.current.take()
+        {
+            self.add_ended_id(previous.id);
+        }
+        self.current = Some((upstream, heartbeat.address, heartbeat.status.sequence));
+        changed
+    }
+
+    /// Records that an upstream instance has stopped. Returns whether the known state changed.
+    pub fn record_leave(&mut self, id: &str) -> bool {
+        match &mut self.current {
+            Some((upstream, ..)) if upstream.id == id => {
+                let changed = upstream.condition != Condition::Down;
+                upstream.condition = Condition::Down;
+                self.add_ended_id(id.to_owned());
+                changed
+            }
+            _ => false,
+        }
+    }
+
+    /// Records that the upstream cannot be reached. Returns whether the known state changed. The next heartbeat makes the
+    /// upstream available again.
+    pub fn mark_unreachable(&mut self, id: &str) -> bool {
+        match &mut self.current {
+            Some((upstream, ..)) if upstream.id == id && upstream.condition == Condition::Accepting => {
+                upstream.condition = Condition::Down;
+                true
+            }
+            _ => false,
+        }
+    }
+
+    /// Remembers the identifier of an ended instance.
+    fn add_ended_id(&mut self, id: String) {
+        self.ended_ids.push_back(id);
+        if self.ended_ids.len() > MAX_ENDED_IDS {
+            self.ended_ids.pop_front();
+        }
+    }
+}
--- a/mesh/data-plane/src/keys.rs
+++ b/mesh/data-plane/src/keys.rs
@@ -1,4 +1,4 @@
-//! Keyed operations as the core keeps them: claims, and claims that are taken back.
+//! Client for operation keys: claims and releases keys at the core, and exchanges stored responses with other balancers.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -18,119 +18,125 @@
 use crate::core_client::CoreClient;
 use crate::metrics;
 
-/// How long a claim may take in all.
-pub const CLAIM: Duration = Duration::from_millis(1300);
-/// How long whoever takes a claim back waits for that to be known.
-const RELEASE: Duration = Duration::from_millis(600);
-/// How long it is tried to take a claim back in the background.
-const RELEASE_LATER: Duration = Duration::from_secs(60);
-/// Most claims that wait to be taken back; the oldest are given up for those beyond.
-const MOST_RELEASES: usize = 8192;
-/// How long the holder of an answer is waited for.
-const RECALL: Duration = Duration::from_millis(600);
-/// Most connections for answers that are kept.
-const MOST_HOLDERS: usize = 64;
-
-/// A claim that is to be taken back.
-struct Release {
+/// Time limit for claiming a key.
+pub const CLAIM_TIMEOUT: Duration = Duration::from_millis(1300);
+/// How long a caller waits for the release of its claim before the release continues in the background.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(600);
+/// How long the release of a claim is retried in the background.
+const BACKGROUND_RELEASE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Maximum number of pending background releases; beyond this the oldest ones are dropped.
+const MAX_PENDING_RELEASES: usize = 8192;
+/// Time limit for asking another balancer for the result of a run.
+const RUN_RESULT_TIMEOUT: Duration = Duration::from_millis(600);
+/// Maximum number of open connections to other balancers for stored responses.
+const MAX_BALANCER_LINKS: usize = 64;
+
+/// A pending background release of a claim.
+struct PendingRelease {
     update: ClaimUpdate,
-    until: Instant,
+    deadline: Instant,
 }
 
-/// Claims, and answers that are kept elsewhere.
-pub struct Keys {
+/// Claims and releases operation keys at the core, and exchanges stored responses with other balancers.
+pub struct KeyClient {
     core: CoreClient,
-    /// Claims that wait to be taken back, one after the other.
-    releases: RefCell<VecDeque<Release>>,
-    /// A task takes them back.
+    /// Claims to release in the background, oldest first.
+    pending_releases: RefCell<VecDeque<PendingRelease>>,
+    /// Whether the background task that releases claims is running.
     releasing: Cell<bool>,
-    /// Other balancers that were asked for answers.
-    holders: RefCell<HashMap<SocketAddr, Rc<Link>>>,
+    /// Connections to other balancers for stored responses, by address.
+    balancer_links: RefCell<HashMap<SocketAddr, Rc<Link>>>,
+    /// Name of this machine.
     holder: String,
 }
 
-impl Keys {
-    /// No core machine is known yet; `holder` is this machine's name.
-    pub fn new(holder: String) -> Rc<Keys> {
-        Rc::new(Keys {
+impl KeyClient {
+    /// Creates a client that knows no core machine yet; `holder` is the name of this machine.
+    pub fn new(holder: String) -> Rc<KeyClient> {
+        Rc::new(KeyClient {
             core: CoreClient::default(),
-            releases: RefCell::default(),
+            pending_releases: RefCell::default(),
             releasing: Cell::new(false),
-            holders: RefCell::default(),
+            balancer_links: RefCell::default(),
             holder,
         })
     }
 
-    /// The core machines, the nearest first.
-    pub fn set_core(&self, addresses: &[SocketAddr]) {
+    /// Sets the addresses of the core machines, nearest first.
+    pub fn set_core_machines(&self, addresses: &[SocketAddr]) {
         self.core.set_machines(addresses);
     }
 
-    async fn ask(&self, update: ClaimUpdate, until: Instant) -> Result<ClaimOutcome> {
-        match self.core.call(&RpcRequest::Operation(update), until).await? {
+    /// Sends a claim update to the core and waits for its outcome until the deadline.
+    async fn ask(&self, update: ClaimUpdate, deadline: Instant) -> Result<ClaimOutcome> {
+        match self.core.call(&RpcRequest::Operation(update), deadline).await? {
             RpcResponse::Operation(outcome) => Ok(outcome),
-            _ => bail!("core: an answer to another question"),
+            _ => bail!("core: unexpected type of response"),
         }
     }
 
-    /// Claims a key for a run. With an error the run must not go, and its claim is taken back.
-    pub async fn claim(self: &Rc<Self>, key: &Bytes, run: u64, within: Duration) -> Result<ClaimOutcome> {
+    /// Claims a key for a run. After an error the run must not start, and the claim is released in the background, because
+    /// the core may have granted it.
+    pub async fn claim(self: &Rc<Self>, key: &Bytes, run: u64, timeout: Duration) -> Result<ClaimOutcome> {
         let claim = ClaimUpdate::Claim { key: key.clone(), run, holder: self.holder.clone() };
-        let outcome = self.ask(claim, Instant::now() + within.min(CLAIM)).await;
+        let outcome = self.ask(claim, Instant::now() + timeout.min(CLAIM_TIMEOUT)).await;
         if outcome.is_err() {
-            self.release_later(ClaimUpdate::Release { key: key.clone(), run });
+            self.release_in_background(ClaimUpdate::Release { key: key.clone(), run });
         }
         outcome
     }
 
-    /// Takes a claim back: the run never went. Waits a moment until that is known.
+    /// Releases the claim of a run that never started. Waits a short time for the core, then continues in the
+    /// background.
     pub async fn release(self: &Rc<Self>, key: &Bytes, run: u64) {
         let release = ClaimUpdate::Release { key: key.clone(), run };
-        if self.ask(release.clone(), Instant::now() + RELEASE).await.is_err() {
-            self.release_later(release);
+        if self.ask(release.clone(), Instant::now() + RELEASE_TIMEOUT).await.is_err() {
+            self.release_in_background(release);
         }
     }
 
-    /// Asks a holder of an answer what came of a run.
-    pub async fn recall(&self, holder: SocketAddr, key: &Bytes, run: u64) -> Result<RpcResponse> {
-        let link = self.holder(holder);
-        link.call(&RpcRequest::QueryRun { key: key.clone(), run }, RECALL).await
+    /// Asks another balancer for the result of a run.
+    pub async fn run_result(&self, balancer: SocketAddr, key: &Bytes, run: u64) -> Result<RpcResponse> {
+        let link = self.link(balancer);
+        link.call(&RpcRequest::QueryRun { key: key.clone(), run }, RUN_RESULT_TIMEOUT).await
     }
 
-    /// Gives an answer to another machine, in case this one forgets it.
-    pub fn keep(&self, keeper: SocketAddr, key: Bytes, run: u64, answer: StoredResponse) {
-        self.holder(keeper).notify(&RpcRequest::StoreAnswer { key, run, answer });
+    /// Sends a replica of a response to another balancer, in case this one loses it.
+    pub fn store_replica(&self, balancer: SocketAddr, key: Bytes, run: u64, answer: StoredResponse) {
+        self.link(balancer).notify(&RpcRequest::StoreAnswer { key, run, answer });
     }
 
-    fn holder(&self, address: SocketAddr) -> Rc<Link> {
-        let mut holders = self.holders.borrow_mut();
-        if holders.len() >= MOST_HOLDERS && !holders.contains_key(&address) {
-            holders.clear();
+    /// The connection to another balancer; a new one is opened if there is none.
+    fn link(&self, address: SocketAddr) -> Rc<Link> {
+        let mut links = self.balancer_links.borrow_mut();
+        if links.len() >= MAX_BALANCER_LINKS && !links.contains_key(&address) {
+            links.clear();
         }
-        holders.entry(address).or_insert_with(|| Link::new(address)).clone()
+        links.entry(address).or_insert_with(|| Link::new(address)).clone()
     }
 
-    /// Takes a claim back in the background: one call at a time, however many wait.
-    fn release_later(self: &Rc<Self>, update: ClaimUpdate) {
-        let mut releases = self.releases.borrow_mut();
-        if releases.len() >= MOST_RELEASES {
+    /// Releases a claim in the background. There is one call to the core at a time, however many releases are pending.
+    fn release_in_background(self: &Rc<Self>, update: ClaimUpdate) {
+        let mut releases = self.pending_releases.borrow_mut();
+        if releases.len() >= MAX_PENDING_RELEASES {
             releases.pop_front();
         }
-        releases.push_back(Release { update, until: Instant::now() + RELEASE_LATER });
+        releases.push_back(PendingRelease { update, deadline: Instant::now() + BACKGROUND_RELEASE_TIMEOUT });
         metrics::KEY_RELEASES_WAITING.set(releases.len() as u64);
         if !self.releasing.replace(true) {
-            spawn_local(self.clone().take_back());
+            spawn_local(self.clone().run_releases());
         }
     }
 
-    async fn take_back(self: Rc<Self>) {
+    /// Sends the pending releases one at a time until none is left.
+    async fn run_releases(self: Rc<Self>) {
         loop {
-            let next = self.releases.borrow_mut().pop_front();
-            let Some(Release { update, until }) = next else { break };
-            if let Err(why) = self.ask(update, until).await {
-                debug!(target: "keys", "A claim is not taken back: {why:#}.");
+            let next = self.pending_releases.borrow_mut().pop_front();
+            let Some(PendingRelease { update, deadline }) = next else { break };
+            if let Err(error) = self.ask(update, deadline).await {
+                debug!(target: "keys", "A claim could not be released: {error:#}.");
             }
-            metrics::KEY_RELEASES_WAITING.set(self.releases.borrow().len() as u64);
+            metrics::KEY_RELEASES_WAITING.set(self.pending_releases.borrow().len() as u64);
         }
         self.releasing.set(false);
     }
--- a/mesh/data-plane/src/lib.rs
+++ b/mesh/data-plane/src/lib.rs
@@ -1,21 +1,21 @@
-//! The data plane: the balancer beside each application instance. Requests of this machine go out through [`front`] and
-//! [`services`], which decide by the module; requests for this machine's upstream come in through [`receive`], which
-//! only forwards what [`admission`] lets through; its answers share the link by [`link_shaper`]. [`beats`], [`admission`] and [`patience`] are without
-//! I/O.
+//! The data plane: the balancer beside each application instance. Requests from this machine leave through [`front`] and
+//! [`services`], which use the load-balancing engine. Requests for this machine's upstream arrive through [`receive`], which
+//! forwards those that [`admission`] admits; [`link_shaper`] limits the rate of long responses. [`heartbeats`],
+//! [`admission`] and [`request_age`] are without I/O.
 
 pub mod admission;
-pub mod answer_lengths;
-mod answers;
-pub mod beats;
 pub mod core_client;
-pub mod follow;
 pub mod front;
 pub mod header_names;
+pub mod heartbeats;
 pub mod keys;
 pub mod link_shaper;
 pub mod metrics;
-pub mod patience;
 pub mod program;
+pub mod pull_sources;
 pub mod receive;
+pub mod request_age;
+pub mod response_lengths;
+mod responses;
 pub mod services;
 pub mod shaped_body;
--- a/mesh/data-plane/src/link_shaper.rs
+++ b/mesh/data-plane/src/link_shaper.rs
@@ -1,5 +1,6 @@
-//! The machine's outgoing link, shared between long answers and all else: long ones leave one after the other and no faster
-//! than the link carries them, so that little waits in the link's own queue and what is short passes by.
+//! Shares the machine's outgoing link between long responses and all other traffic. Long responses are sent one after the
+//! other and no faster than the link carries them, so that the queue of the link itself stays short and short responses
+//! are not delayed.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -12,182 +13,190 @@
 
 use crate::metrics;
 
-/// Microseconds.
+/// A duration or a point in time, in microseconds.
 pub type Micros = u64;
 
-/// Bytes that a long answer sends at a turn.
-pub const CHUNK: usize = 8 << 10;
-/// Part of the link that answers to other balancers may fill; answers to this machine's own clients, control and the heads of
-/// packets have the rest.
-const USED: f64 = 0.82;
-/// A link that was idle has so much to spare: timers fire late.
-const BURST: Micros = 10_000;
+/// Maximum number of bytes of a long response that are sent in one turn.
+pub const CHUNK_BYTES: usize = 8 << 10;
+/// Share of the link's capacity for responses to other balancers. The rest is for responses to this machine's own clients,
+/// control traffic and packet headers.
+const RESPONSE_LINK_SHARE: f64 = 0.82;
+/// Link time that may be sent ahead after an idle phase, to compensate for timers that fire late.
+const BURST_MICROS: Micros = 10_000;
 
-/// Who sends next and when, without I/O.
+/// Computes when the link is free, and how long the pending long responses take, without I/O.
 #[derive(Debug)]
 pub struct Schedule {
     bytes_per_second: f64,
-    /// When all that was sent has left.
+    /// When the link has transmitted everything that was sent.
     free_at: Micros,
-    /// Bytes of long answers that are still to be sent or expected.
-    backlog: u64,
+    /// Bytes of long responses that are not sent yet, including those of responses that the upstream is expected to give.
+    backlog_bytes: u64,
 }
 
 impl Schedule {
-    /// A link of so many megabits a second.
+    /// Creates a schedule for an idle link with a capacity in megabits per second.
     pub fn new(link_mbps: f64) -> Schedule {
-        Schedule { bytes_per_second: link_mbps * 1e6 / 8.0 * USED, free_at: 0, backlog: 0 }
+        Schedule {
+            bytes_per_second: link_mbps * 1e6 / 8.0 * RESPONSE_LINK_SHARE,
+            free_at: 0,
+            backlog_bytes: 0,
+        }
     }
 
-    /// How long so many bytes take.
-    pub fn time_of(&self, bytes: u64) -> Micros {
+    /// Transmission time of a number of bytes.
+    pub fn transmit_time(&self, bytes: u64) -> Micros {
         (bytes as f64 / self.bytes_per_second * 1e6) as Micros
     }
 
-    /// So many bytes are sent now.
-    pub fn sent(&mut self, now: Micros, bytes: usize) {
-        self.free_at = self.free_at.max(now.saturating_sub(BURST)) + self.time_of(bytes as u64);
+    /// Records that a number of bytes is sent now.
+    pub fn record_sent(&mut self, now: Micros, bytes: usize) {
+        self.free_at = self.free_at.max(now.saturating_sub(BURST_MICROS)) + self.transmit_time(bytes as u64);
     }
 
-    /// When the next turn is.
+    /// When the link is free for the next turn.
     pub fn free_at(&self) -> Micros {
         self.free_at
     }
 
-    /// So many bytes more are to be sent.
-    pub fn expect(&mut self, bytes: u64) {
-        self.backlog += bytes;
-        metrics::LINK_BACKLOG.set(self.backlog);
+    /// Adds a number of bytes to the backlog of long responses.
+    pub fn add_backlog(&mut self, bytes: u64) {
+        self.backlog_bytes += bytes;
+        metrics::LINK_BACKLOG.set(self.backlog_bytes);
     }
 
-    /// So many of them are sent, or not to be sent after all.
-    pub fn settle(&mut self, bytes: u64) {
-        self.backlog = self.backlog.saturating_sub(bytes);
-        metrics::LINK_BACKLOG.set(self.backlog);
+    /// Removes a number of bytes from the backlog, either because they are sent or because they no longer have to be.
+    pub fn remove_backlog(&mut self, bytes: u64) {
+        self.backlog_bytes = self.backlog_bytes.saturating_sub(bytes);
+        metrics::LINK_BACKLOG.set(self.backlog_bytes);
     }
 
-    /// How long what is to be sent takes.
-    pub fn backlog(&self) -> Micros {
-        self.time_of(self.backlog)
+    /// Transmission time of the backlog.
+    pub fn backlog_time(&self) -> Micros {
+        self.transmit_time(self.backlog_bytes)
     }
 }
 
-/// The link as the answers of this process use it.
+/// Controls when the responses of this process are sent on the outgoing link.
 #[derive(Debug)]
 pub struct LinkShaper {
     schedule: RefCell<Schedule>,
-    /// Long answers that have bytes to send, in the order in which they began.
+    /// Wakers of the long responses that have bytes to send, by position, in the order in which the responses began.
     waiting: RefCell<BTreeMap<u64, Waker>>,
-    next: RefCell<u64>,
-    changed: Notify,
+    /// Position of the long response that began last.
+    last_position: RefCell<u64>,
+    /// Wakes [`LinkShaper::run`] after a change of the waiting responses.
+    waiting_changed: Notify,
     start: Instant,
 }
 
 impl LinkShaper {
-    /// An idle link of so many megabits a second.
+    /// Creates a shaper for an idle link with a capacity in megabits per second.
     pub fn new(link_mbps: f64) -> Rc<LinkShaper> {
         Rc::new(LinkShaper {
             schedule: RefCell::new(Schedule::new(link_mbps)),
             waiting: RefCell::default(),
-            next: RefCell::default(),
-            changed: Notify::new(),
+            last_position: RefCell::default(),
+            waiting_changed: Notify::new(),
             start: Instant::now(),
         })
     }
 
+    /// Time since the start, shifted by the burst allowance.
     fn now(&self) -> Micros {
-        // A moment that lies a burst back must not lie before the start.
-        self.start.elapsed().as_micros() as Micros + BURST
+        // The schedule subtracts the burst allowance; the result must not be before the start.
+        self.start.elapsed().as_micros() as Micros + BURST_MICROS
     }
 
-    /// A long answer of so many bytes is to be expected until what is returned is dropped or has been sent.
-    pub fn expect(self: &Rc<Self>, bytes: u64) -> Expected {
-        self.schedule.borrow_mut().expect(bytes);
-        Expected { link: self.clone(), bytes }
+    /// Adds an expected long response to the backlog. The returned value removes its bytes again as they are sent, and the
+    /// rest when it is dropped.
+    pub fn expect_response(self: &Rc<Self>, bytes: u64) -> ExpectedResponse {
+        self.schedule.borrow_mut().add_backlog(bytes);
+        ExpectedResponse { link: self.clone(), bytes }
     }
 
-    /// How long a long answer of so many bytes waits for the link, and how long it takes itself.
-    pub fn outlook(&self, bytes: u64) -> (Micros, Micros) {
+    /// Expected wait for the link, and transmission time, of a long response of this size.
+    pub fn estimate(&self, bytes: u64) -> (Micros, Micros) {
         let schedule = self.schedule.borrow();
-        (schedule.backlog(), schedule.time_of(bytes))
+        (schedule.backlog_time(), schedule.transmit_time(bytes))
     }
 
-    /// No long answer of a known length is to be sent or expected.
+    /// Whether no long response of known length is being sent or expected.
     pub fn is_idle(&self) -> bool {
-        self.schedule.borrow().backlog == 0
+        self.schedule.borrow().backlog_bytes == 0
     }
 
-    /// A short answer goes out at once.
-    pub fn sent(&self, bytes: usize) {
+    /// Records that a part of a short response is sent now; short responses do not wait for a turn.
+    pub fn record_sent(&self, bytes: usize) {
         let now = self.now();
-        self.schedule.borrow_mut().sent(now, bytes);
+        self.schedule.borrow_mut().record_sent(now, bytes);
     }
 
-    /// The place of a long answer that begins now.
-    pub fn begin(&self) -> u64 {
-        let mut next = self.next.borrow_mut();
-        *next += 1;
-        *next
+    /// Assigns the next position to a long response that begins now.
+    pub fn next_position(&self) -> u64 {
+        let mut last_position = self.last_position.borrow_mut();
+        *last_position += 1;
+        *last_position
     }
 
-    /// Ready when the long answer with this place may send so many bytes, which then count as sent.
-    pub fn poll_turn(&self, place: u64, bytes: usize, context: &mut Context<'_>) -> Poll<()> {
+    /// Ready when the long response at this position may send a number of bytes, which are then recorded as sent.
+    pub fn poll_turn(&self, position: u64, bytes: usize, context: &mut Context<'_>) -> Poll<()> {
         let now = self.now();
         let mut waiting = self.waiting.borrow_mut();
-        waiting.insert(place, context.waker().clone());
-        let first = waiting.first_key_value().is_some_and(|(first, _)| *first == place);
-        self.changed.notify_one();
+        waiting.insert(position, context.waker().clone());
+        let first = waiting.first_key_value().is_some_and(|(first, _)| *first == position);
+        self.waiting_changed.notify_one();
         if !first || self.schedule.borrow().free_at() > now {
             return Poll::Pending;
         }
-        waiting.remove(&place);
-        self.schedule.borrow_mut().sent(now, bytes);
+        waiting.remove(&position);
+        self.schedule.borrow_mut().record_sent(now, bytes);
         Poll::Ready(())
     }
 
-    /// The answer with this place does not wait any more.
-    pub fn leave(&self, place: u64) {
-        self.waiting.borrow_mut().remove(&place);
-        self.changed.notify_one();
+    /// Removes the long response at this position, which has ended or was cancelled.
+    pub fn remove(&self, position: u64) {
+        self.waiting.borrow_mut().remove(&position);
+        self.waiting_changed.notify_one();
     }
 
-    /// Wakes whoever has its turn; never returns.
-    pub async fn tend(self: Rc<Self>) {
+    /// Wakes the long response whose turn it is whenever the link is free; never returns.
+    pub async fn run(self: Rc<Self>) {
         loop {
-            let anybody = !self.waiting.borrow().is_empty();
-            if !anybody {
-                self.changed.notified().await;
+            let any_waiting = !self.waiting.borrow().is_empty();
+            if !any_waiting {
+                self.waiting_changed.notified().await;
                 continue;
             }
-            let free_at = self.schedule.borrow().free_at().saturating_sub(BURST);
+            let free_at = self.schedule.borrow().free_at().saturating_sub(BURST_MICROS);
             sleep_until(self.start + Duration::from_micros(free_at)).await;
             let first = self.waiting.borrow().first_key_value().map(|(_, waker)| waker.clone());
             if let Some(waker) = first {
                 waker.wake();
             }
-            self.changed.notified().await;
+            self.waiting_changed.notified().await;
         }
     }
 }
 
-/// Bytes of a long answer that are still to be sent.
+/// The part of a long response that is not sent yet and counts towards the backlog.
 #[derive(Debug)]
-pub struct Expected {
+pub struct ExpectedResponse {
     link: Rc<LinkShaper>,
     bytes: u64,
 }
 
-impl Expected {
-    /// So many of them are sent.
-    pub fn sent(&mut self, bytes: usize) {
+impl ExpectedResponse {
+    /// Removes a number of sent bytes from the backlog.
+    pub fn record_sent(&mut self, bytes: usize) {
         let sent = self.bytes.min(bytes as u64);
-        self.link.schedule.borrow_mut().settle(sent);
+        self.link.schedule.borrow_mut().remove_backlog(sent);
         self.bytes -= sent;
     }
 }
 
-impl Drop for Expected {
+impl Drop for ExpectedResponse {
     fn drop(&mut self) {
-        self.link.schedule.borrow_mut().settle(self.bytes);
+        self.link.schedule.borrow_mut().remove_backlog(self.bytes);
     }
 }
--- a/mesh/data-plane/src/main.rs
+++ b/mesh/data-plane/src/main.rs
@@ -1,4 +1,4 @@
-//! `sloeline-data-plane`: the data plane's program.
+//! `sloeline-data-plane`: the program of the data plane.
 
 use std::process::ExitCode;
 
--- a/mesh/data-plane/src/program.rs
+++ b/mesh/data-plane/src/program.rs
@@ -1,4 +1,4 @@
-//! The program: settings, sockets, and how it begins and ends.
+//! The program: settings, sockets, startup and shutdown.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -33,42 +33,43 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::beats::Beat;
-use crate::follow::Follow;
 use crate::front::{Outgoing, Routes};
 use crate::header_names;
-use crate::keys::Keys;
+use crate::heartbeats::Heartbeat;
+use crate::keys::KeyClient;
 use crate::link_shaper::LinkShaper;
 use crate::metrics;
+use crate::pull_sources::PullSources;
 use crate::receive::Receiver;
-use crate::services::{Ground, Services};
+use crate::services::{ServiceContext, Services};
 
-/// How often it is looked whom to follow.
-const CHOOSE: Duration = Duration::from_millis(500);
-/// Descriptors for listeners, the mesh's own connections, the runtime and standard streams.
-const RESERVED: u64 = 300;
-/// Part of the other descriptors that callers may hold.
-const CALLERS: f64 = 0.5;
-/// Part of the memory that bodies may fill.
-const BODIES: f64 = 0.4;
-/// Part of the memory that keyed answers may fill.
-const ANSWERS: f64 = 0.15;
-/// Keyed answers are kept so much longer than their window, in milliseconds.
-const LEDGER_LONGER: u64 = 10_000;
-/// After an order to stop clients still come for so long: they look once a second and leave after two misses.
-const STILL: Duration = Duration::from_millis(2600);
-/// Time between the last answer and the kill.
-const MARGIN: Duration = Duration::from_millis(400);
-/// A start may follow an order to stop, which came at least [`STILL`] before. Until `grace` and so much more are over since
-/// the order, requests are finished as if it held still.
+/// Maximum interval between updates of the pull sources.
+const SOURCE_UPDATE_INTERVAL: Duration = Duration::from_millis(500);
+/// File descriptors reserved for listeners, the mesh's own connections, the runtime and the standard streams.
+const RESERVED_DESCRIPTORS: u64 = 300;
+/// Share of the other file descriptors that clients' connections may use.
+const CLIENT_DESCRIPTOR_SHARE: f64 = 0.5;
+/// Share of the configured memory for request bodies.
+const BODY_MEMORY_SHARE: f64 = 0.4;
+/// Share of the configured memory for the stored responses of keyed requests.
+const STORED_RESPONSE_MEMORY_SHARE: f64 = 0.15;
+/// How much longer than the key window stored responses are kept.
+const LEDGER_EXTRA_MS: u64 = 10_000;
+/// How long clients still send requests after the process is told to stop: they check readiness once per second and leave
+/// after two failed checks.
+const CLIENT_LEAVE_TIME: Duration = Duration::from_millis(2600);
+/// Time between the last response and the end of the grace period, when the process is killed.
+const KILL_MARGIN: Duration = Duration::from_millis(400);
+/// The start of a process may follow the shutdown of another one, which began at least [`CLIENT_LEAVE_TIME`] earlier. Requests
+/// are not cancelled until the grace period and this time have passed since the shutdown began.
 const AFTER_GRACE: Duration = Duration::from_millis(1200);
-/// Answers of the upstream up to here are read whole before they leave, so that its slot is free while they wait for the
-/// link; longer ones pass through.
-const HELD: usize = 256 << 10;
-/// Most bytes of a beat.
-const MOST_BEAT: usize = 64 << 10;
+/// Responses of the upstream up to this size are read whole before they are sent, so that the upstream's slot is free while
+/// they wait for the link; larger ones are streamed.
+const MAX_BUFFERED_RESPONSE_BYTES: usize = 256 << 10;
+/// Maximum size of a heartbeat message.
+const MAX_HEARTBEAT_BYTES: usize = 64 << 10;
 
-/// Runs a balancer until it is told to stop.
+/// Runs a balancer with the settings file at this path until the process is told to stop.
 pub fn run(path: &Path) -> Result<()> {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().context("start the runtime")?;
@@ -76,29 +77,31 @@
         .block_on(&runtime, async { run_with_settings(reload::watch_settings(path.to_owned())?).await })
 }
 
+/// The present time, in microseconds since the Unix epoch.
 fn unix_micros() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
 }
 
+/// Binds the listener for one of the addresses in the `docks` settings.
 async fn listen(what: &str, address: Option<SocketAddr>) -> Result<TcpListener> {
     let address = address.with_context(|| format!("docks.{what}: found nothing, expected an address"))?;
     TcpListener::bind(address).await.with_context(|| format!("listen at {address} for {what}"))
 }
 
-/// What callers may take up.
-fn room(places: usize, limits: SizeLimits, grace: Duration) -> Room {
+/// Limits for the connections of clients.
+fn client_limits(places: usize, limits: SizeLimits, grace: Duration) -> Room {
     let pace = Pace { idle: limits.idle.duration(), head: limits.header.duration(), ..Pace::default() };
-    let leave_within = grace.saturating_sub(MARGIN);
+    let leave_within = grace.saturating_sub(KILL_MARGIN);
     Room {
         places,
         pace,
         ready_path: "/-/ready".to_owned(),
         leave_within,
-        still_taken: STILL.min(leave_within),
+        still_taken: CLIENT_LEAVE_TIME.min(leave_within),
     }
 }
 
-/// The whole life of one, by its settings.
+/// Runs a balancer with these settings, which may change while it runs, until the process is told to stop.
 pub async fn run_with_settings(watched: SettingsWatch) -> Result<()> {
     let settings = Settings::clone(&watched.borrow());
     let guarantees = settings.guarantees()?;
@@ -114,20 +117,21 @@
     };
     let exchange = Exchange::new(own);
     let sender = settings.service.clone().context("line: found nothing, expected this machine's service")?;
-    let sender = HeaderValue::from_str(&sender).context("line: expected what may stand in a header")?;
-    let free = settings.size_limits.file_handles.saturating_sub(RESERVED).max(16) as f64;
-    let (places, connections) = ((free * CALLERS) as usize, (free * (1.0 - CALLERS)) as usize);
+    let sender = HeaderValue::from_str(&sender).context("line: expected a valid HTTP header value")?;
+    let free = settings.size_limits.file_handles.saturating_sub(RESERVED_DESCRIPTORS).max(16) as f64;
+    let (max_clients, connections) =
+        ((free * CLIENT_DESCRIPTOR_SHARE) as usize, (free * (1.0 - CLIENT_DESCRIPTOR_SHARE)) as usize);
     let memory = (settings.size_limits.memory_mb << 20) as f64;
-    let bodies = Share::standalone((memory * BODIES) as usize);
+    let bodies = Share::standalone((memory * BODY_MEMORY_SHARE) as usize);
     let connections = Share::standalone(connections);
 
-    let keys = Keys::new(settings.node_name.clone());
+    let keys = KeyClient::new(settings.node_name.clone());
     let dialect = Dialect {
         deadline: Some(header_names::TIME_LEFT),
         only_ok: false,
         declined: None,
         most_answer: 1 << 30,
-        held: HELD,
+        held: MAX_BUFFERED_RESPONSE_BYTES,
         forwards: true,
         errors: false,
         echo: None,
@@ -135,27 +139,27 @@
     let limits = fs::Limits { idle_close: 8_000_000, ..fs::Settings::new(Vec::new()).limits };
     let to_upstream = Upstreams::new(&limits, connections.clone(), dialect);
     spawn_local(to_upstream.tend());
-    let window = guarantees.key_window.millis() + LEDGER_LONGER;
-    let ledger = Ledger::new(window, (memory * ANSWERS) as usize);
+    let window = guarantees.key_window.millis() + LEDGER_EXTRA_MS;
+    let ledger = Ledger::new(window, (memory * STORED_RESPONSE_MEMORY_SHARE) as usize);
     let link = LinkShaper::new(settings.size_limits.link_mbps);
-    spawn_local(link.clone().tend());
+    spawn_local(link.clone().run());
     let receiver =
         Receiver::new(to_upstream, keys.clone(), ledger, exchange.clone(), guarantees.drain.0, link);
-    spawn_local(receiver.clone().tend());
+    spawn_local(receiver.clone().run_admission());
 
     let clock = Rc::new(Clock::new());
     let (phases, phase) = watch::channel(Phase::Running);
-    let first = room(places, SizeLimits::default(), guarantees.grace.duration());
-    let callers = Callers::new(Outgoing::new(sender, bodies, clock.clone()), first, phase);
+    let initial_limits = client_limits(max_clients, SizeLimits::default(), guarantees.grace.duration());
+    let callers = Callers::new(Outgoing::new(sender, bodies, clock.clone()), initial_limits, phase);
 
     let mesh = TcpListener::bind(settings.mesh_bind_address()).await.context("listen for the mesh")?;
     let incoming = listen("incoming", settings.listen_addrs.incoming).await?;
     let outgoing = listen("outgoing", settings.listen_addrs.outgoing).await?;
     let readiness = listen("readiness", settings.listen_addrs.readiness).await?;
-    let dock = listen("control_dock", settings.listen_addrs.control).await?;
+    let control = listen("control_dock", settings.listen_addrs.control).await?;
     spawn_local(serve(mesh, {
         let (exchange, receiver) = (exchange.clone(), receiver.clone());
-        move |ask| answer(exchange.clone(), receiver.clone(), ask)
+        move |request| answer_rpc(exchange.clone(), receiver.clone(), request)
     }));
     spawn_local(receiver.clone().serve(incoming));
     spawn_local(control::serve(readiness, 1024, {
@@ -170,69 +174,73 @@
             }
         }
     }));
-    spawn_local(control::serve(dock, MOST_BEAT, {
+    spawn_local(control::serve(control, MAX_HEARTBEAT_BYTES, {
         let receiver = receiver.clone();
         move |call, _| {
-            let answer = beat(&receiver, &call);
-            async move { answer }
+            let response = answer_upstream(&receiver, &call);
+            async move { response }
         }
     }));
-    let figures =
+    let metric_sets =
         vec![metrics::METRICS, sloeline_rpc::metrics::METRICS, sloeline_config_transfer::metrics::METRICS];
-    spawn_local(sloeline_admin_http::metrics::serve(settings.ip_addr, figures));
-    let ground = Ground {
+    spawn_local(sloeline_admin_http::metrics::serve(settings.ip_addr, metric_sets));
+    let context = ServiceContext {
         zone: settings.zone_name.clone(),
         zones: settings.zones.len().max(1) as u32,
         clock,
         connections,
     };
-    let following = Follow::new(watched, exchange.clone(), keys);
-    spawn_local(follow(
-        following,
+    let sources = PullSources::new(watched, exchange.clone(), keys);
+    spawn_local(apply_changes(
+        sources,
         exchange.clone(),
         callers.clone(),
-        ground,
-        places,
+        context,
+        max_clients,
         guarantees.grace.duration(),
     ));
-    info!(target: "start", "{} serves at {}.", settings.node_name, settings.mesh_address());
+    info!(target: "start", "{} is listening at {}.", settings.node_name, settings.mesh_address());
 
     let mut stop = signal(SignalKind::terminate()).context("wait for SIGTERM")?;
     let accepting = callers.accept(outgoing, &phases);
     let stopping = async {
         let _ = stop.recv().await;
-        info!(target: "stop", "Told to stop.");
+        info!(target: "stop", "Shutting down.");
         callers.front().set_ready(false);
         exchange.update_local_record(|own| own.leaving = true);
         let _ = phases.send(Phase::Stopping);
         Instant::now()
     };
-    let ((), ordered) = tokio::join!(accepting, stopping);
-    let until = ordered + guarantees.grace.duration().saturating_sub(MARGIN);
-    let rest = async {
+    let ((), stop_time) = tokio::join!(accepting, stopping);
+    let deadline = stop_time + guarantees.grace.duration().saturating_sub(KILL_MARGIN);
+    let drained = async {
         callers.closed().await;
         while !receiver.is_idle() {
             sleep(Duration::from_millis(20)).await;
         }
     };
-    let _ = timeout(until.saturating_duration_since(Instant::now()), rest).await;
-    info!(target: "stop", "Ends.");
+    let _ = timeout(deadline.saturating_duration_since(Instant::now()), drained).await;
+    info!(target: "stop", "Stopped.");
     Ok(())
 }
 
-/// What other processes ask.
-async fn answer(exchange: Rc<Exchange>, receiver: Rc<Receiver>, ask: RpcRequest) -> Option<RpcResponse> {
-    match ask {
+/// Answers a request from another process of the mesh.
+async fn answer_rpc(
+    exchange: Rc<Exchange>,
+    receiver: Rc<Receiver>,
+    request: RpcRequest,
+) -> Option<RpcResponse> {
+    match request {
         RpcRequest::Pull(pull) => Some(RpcResponse::Updates(exchange.answer_pull(pull).await)),
         RpcRequest::CompareDigest { digest } => Some(exchange.compare_digest(digest)),
-        RpcRequest::ConfigPiece(request) => Some(RpcResponse::ConfigPiece(exchange.config_piece(&request))),
+        RpcRequest::ConfigPiece(piece) => Some(RpcResponse::ConfigPiece(exchange.config_piece(&piece))),
         RpcRequest::PushRecords(records) => {
             exchange.apply_records(records);
             Some(RpcResponse::Done)
         }
-        RpcRequest::QueryRun { key, run } => Some(receiver.recall(&key, run)),
+        RpcRequest::QueryRun { key, run } => Some(receiver.run_result(&key, run)),
         RpcRequest::StoreAnswer { key, run, answer } => {
-            receiver.keep(&key, run, answer);
+            receiver.store_replica(&key, run, answer);
             None
         }
         RpcRequest::Chain { .. } => None,
@@ -241,8 +249,8 @@
     }
 }
 
-/// A call of this machine's upstream.
-fn beat(receiver: &Receiver, call: &Call) -> ControlResponse {
+/// Answers a call from this machine's upstream, which sends a heartbeat or reports that it leaves.
+fn answer_upstream(receiver: &Receiver, call: &Call) -> ControlResponse {
     if call.path != "/-/rpc" || call.method != Method::POST {
         return error_response(StatusCode::NOT_FOUND, "expected POST /-/rpc");
     }
@@ -250,18 +258,19 @@
         return error_response(StatusCode::BAD_REQUEST, "of: expected an upstream's id of 1 to 255 bytes");
     };
     match call.name.as_deref() {
-        Some("upstreams.beat") => match Beat::parse(&call.body) {
-            Ok(beat) => {
-                if receiver.beats(|beats| beats.beat(unix_micros(), id, &beat)) {
-                    info!(target: "upstream", "{id} is {:?}.", beat.tracking.condition);
+        Some("upstreams.beat") => match Heartbeat::parse(&call.body) {
+            Ok(heartbeat) => {
+                if receiver.with_upstream(|upstream| upstream.record_heartbeat(unix_micros(), id, &heartbeat))
+                {
+                    info!(target: "upstream", "Upstream {id} is {:?}.", heartbeat.status.condition);
                 }
                 json_response(StatusCode::OK, "{}")
             }
-            Err(why) => error_response(StatusCode::BAD_REQUEST, &format!("{why:#}")),
+            Err(error) => error_response(StatusCode::BAD_REQUEST, &format!("{error:#}")),
         },
         Some("upstreams.leave") => {
-            if receiver.beats(|beats| beats.leave(id)) {
-                info!(target: "upstream", "{id} has left.");
+            if receiver.with_upstream(|upstream| upstream.record_leave(id)) {
+                info!(target: "upstream", "Upstream {id} has left.");
             }
             json_response(StatusCode::OK, "{}")
         }
@@ -269,51 +278,57 @@
     }
 }
 
-/// Goes by every change of what is known; never returns.
-async fn follow(
-    follow: Follow,
+/// Applies every change of the known records and of the configuration; never returns.
+async fn apply_changes(
+    sources: PullSources,
     exchange: Rc<Exchange>,
     callers: Rc<Callers<Outgoing>>,
-    ground: Ground,
-    places: usize,
+    context: ServiceContext,
+    max_clients: usize,
     grace: Duration,
 ) {
     let mut changes = exchange.subscribe();
     let mut services = Services::default();
-    services.set_cutting(false);
-    let mut planned = None;
+    services.set_cancellation(false);
+    let mut applied = None;
     loop {
         changes.mark_unchanged();
-        follow.choose();
+        sources.update();
         let (records, config) = (exchange.view().records(), exchange.view().config());
         if let Some(config) = config
-            && planned != Some(config.edition)
+            && applied != Some(config.edition)
         {
             match Config::parse(&config.body) {
                 Ok(parsed) => {
                     let table = Table::new(&parsed);
                     let limits = table.limits();
-                    match services.plan(&table, &ground) {
-                        Ok(leads) => {
+                    match services.configure(&table, &context) {
+                        Ok(targets) => {
                             metrics::VERSION_IN_FORCE.set(config.edition.into());
                             info!(target: "routes", "Configuration {:08x} is in force.", config.edition);
-                            callers.front().swap(Routes { table, leads });
-                            callers.resize(room(places, limits, grace));
+                            callers.front().set_routes(Routes { table, targets });
+                            callers.resize(client_limits(max_clients, limits, grace));
+                        }
+                        Err(error) => {
+                            warn!(target: "routes", "The configuration cannot be applied: {error:#}.")
                         }
-                        Err(why) => warn!(target: "routes", "Not in force: {why:#}."),
                     }
                 }
-                Err(why) => warn!(target: "routes", "Not in force: {why:#}."),
+                Err(error) => warn!(target: "routes", "The configuration cannot be applied: {error:#}."),
             }
-            planned = Some(config.edition);
+            applied = Some(config.edition);
         }
-        services.list(&records);
+        services.update_upstreams(&records);
         let leaving = exchange.local_record().leaving;
-        services.set_cutting(!leaving && follow.age() > (grace + AFTER_GRACE).saturating_sub(STILL));
-        callers.front().set_ready(!leaving && planned.is_some() && services.listed() && follow.reached());
+        services.set_cancellation(
+            !leaving && sources.age() > (grace + AFTER_GRACE).saturating_sub(CLIENT_LEAVE_TIME),
+        );
+        callers
+            .front()
+            .set_ready(!leaving && applied.is_some() && services.any_upstream() && sources.reached());
         tokio::select! {
             changed = changes.changed() => if changed.is_err() { return },
-            () = sleep(CHOOSE) => {}
+            () = sleep(SOURCE_UPDATE_INTERVAL) => {}
         }
     }
 }
--- a/mesh/data-plane/src/receive.rs
+++ b/mesh/data-plane/src/receive.rs
@@ -1,5 +1,6 @@
-//! Requests for this machine's upstream: what the gate lets through is forwarded as it is, its answer passed back. An
-//! answer with `X-Not-Run` is a promise that the near balancer may go by.
+//! Requests from other balancers for this machine's upstream. Admitted requests are forwarded to it, and its responses are
+//! passed back. A response with the header `X-Not-Run` guarantees that the request never ran and never will, so that
+//! the sending balancer may retry it elsewhere.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -33,118 +34,134 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use crate::admission::{AdmissionQueue, Arrival, Micros, State, Verdict};
-use crate::answer_lengths::AnswerLengths;
-use crate::answers::{again, not_run, passed, whole};
-use crate::beats::Beats;
 use crate::header_names;
-use crate::keys::Keys;
-use crate::link_shaper::{Expected, LinkShaper};
+use crate::heartbeats::UpstreamTracker;
+use crate::keys::KeyClient;
+use crate::link_shaper::{ExpectedResponse, LinkShaper};
 use crate::metrics;
+use crate::response_lengths::ResponseLengths;
+use crate::responses::{collect, forwarded, not_run, replay};
 use crate::shaped_body::ShapedBody;
 
-/// Longest time that a request is taken for, whatever it says: a day.
-const LONGEST: Micros = 86_400_000_000;
-/// Most bytes of a request's body.
-const MOST_BODY: usize = 64 << 20;
-/// Other balancers that are asked for an answer that its holder has forgotten; the first of them is given each.
-const KEEPERS: usize = 2;
-/// Less time than this is no use.
-const LEAST: Micros = 2_000;
-/// An answer's way back.
-const WAY_BACK: Micros = 3_000;
-const PAUSE: Duration = Duration::from_millis(20);
-
-/// The way in.
+/// Upper bound for the remaining time in the headers of a request: one day.
+const MAX_TIME_LEFT: Micros = 86_400_000_000;
+/// Maximum size of a request body.
+const MAX_BODY_BYTES: usize = 64 << 20;
+/// Number of other balancers that are asked for a stored response if the claim holder has lost it. The first of them gets a
+/// replica of each response.
+const REPLICA_CANDIDATES: usize = 2;
+/// Requests with less time left than this are rejected.
+const MIN_TIME_LEFT: Micros = 2_000;
+/// Time reserved for the transmission of the response to the sending balancer.
+const RESPONSE_TRANSIT: Micros = 3_000;
+/// Pause after a connection could not be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+
+/// Receives requests for this machine's upstream and forwards those that are admitted.
 pub struct Receiver {
-    gate: RefCell<AdmissionQueue>,
-    beats: RefCell<Beats>,
+    /// Decides which requests go to the upstream.
+    admission: RefCell<AdmissionQueue>,
+    /// The upstream's state as it reports it.
+    upstream: RefCell<UpstreamTracker>,
+    /// Notifies queued requests, by their numbers: `true` once admitted, `false` once expired.
     waiting: RefCell<HashMap<u64, oneshot::Sender<bool>>>,
+    /// Connections to the upstream.
     upstreams: Upstreams,
-    keys: Rc<Keys>,
+    /// Claims operation keys and exchanges stored responses.
+    keys: Rc<KeyClient>,
+    /// Results of the keyed runs on this machine.
     ledger: RefCell<Ledger>,
+    /// Records of the other processes, and the record of this one.
     exchange: Rc<Exchange>,
-    /// How long after its word that it closes the upstream is still sent what waits.
+    /// How long queued requests are still sent to the upstream after it has reported that it is closing.
     drain: Micros,
-    /// The link on which answers leave.
+    /// The outgoing link, which limits the rate of long responses.
     link: Rc<LinkShaper>,
-    lengths: RefCell<AnswerLengths>,
+    /// Learned response lengths, to estimate the load on the link.
+    response_lengths: RefCell<ResponseLengths>,
     start: Instant,
-    changed: Notify,
+    /// Wakes the task that admits and expires queued requests.
+    admission_changed: Notify,
 }
 
-/// A place with the upstream; dropped, it is free again.
-struct Place {
+/// Permission for one request at the upstream. Dropping it frees the slot.
+struct Permit {
     receiver: Rc<Receiver>,
     kind: u64,
+    /// When the request was admitted.
     since: Micros,
-    told: bool,
-    /// What its answer will have for the link.
-    expected: Option<Expected>,
+    /// Whether the upstream has responded, which makes the elapsed time a sample of the processing time.
+    responded: bool,
+    /// The expected size of the response, until the upstream has responded.
+    expected: Option<ExpectedResponse>,
 }
 
-impl Place {
-    /// The upstream has answered: how long that took tells something.
-    fn done(&mut self) {
-        self.told = true;
+impl Permit {
+    /// Records that the upstream has responded.
+    fn set_responded(&mut self) {
+        self.responded = true;
         self.expected = None;
     }
 }
 
-impl Drop for Place {
+impl Drop for Permit {
     fn drop(&mut self) {
         let now = self.receiver.now();
         let held = now.saturating_sub(self.since);
         metrics::GATE_HELD.add(held);
-        let took = self.told.then_some(held);
-        let go = self.receiver.gate.borrow_mut().complete(now, self.kind, took);
-        self.receiver.wake(go, true);
-        self.receiver.changed.notify_one();
+        let took = self.responded.then_some(held);
+        let admitted = self.receiver.admission.borrow_mut().complete(now, self.kind, took);
+        self.receiver.wake(admitted, true);
+        self.receiver.admission_changed.notify_one();
     }
 }
 
-/// Whoever waits; dropped, it waits no more.
-struct Waits<'a> {
+/// A queued request. Dropping it removes the request from the queue if it has been neither admitted nor expired.
+struct QueueGuard<'a> {
     receiver: &'a Receiver,
     number: u64,
 }
 
-impl Drop for Waits<'_> {
+impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
         if self.receiver.waiting.borrow_mut().remove(&self.number).is_some() {
-            self.receiver.gate.borrow_mut().forget(self.number);
+            self.receiver.admission.borrow_mut().remove(self.number);
         }
     }
 }
 
-/// What requests are told apart by in the gate: route and class, as the sender has them.
+/// Identifies requests of similar processing time: a hash of the class name that the sending balancer gave.
 fn kind(headers: &HeaderMap) -> u64 {
     headers.get(header_names::KIND).map_or(0, |v| ring_hash(v.to_str().unwrap_or_default()))
 }
 
-/// A request as it goes on.
-struct Going {
+/// A request to forward to the upstream.
+struct ForwardRequest {
     call: Call,
-    id: Option<HeaderValue>,
+    try_id: Option<HeaderValue>,
     target: Target,
-    came: Micros,
-    until: Micros,
+    /// When the request arrived at this balancer.
+    arrived_at: Micros,
+    /// When the client stops waiting for the response.
+    deadline: Micros,
     arrival: Arrival,
+    /// Identifier of the upstream that the request is for.
     upstream: String,
 }
 
 impl Receiver {
-    /// No upstream has told of itself yet.
+    /// Creates a receiver whose upstream has not reported itself yet.
     pub fn new(
         upstreams: Upstreams,
-        keys: Rc<Keys>,
+        keys: Rc<KeyClient>,
         ledger: Ledger,
         exchange: Rc<Exchange>,
         drain: Micros,
         link: Rc<LinkShaper>,
     ) -> Rc<Receiver> {
         Rc::new(Receiver {
-            gate: RefCell::default(),
-            beats: RefCell::default(),
+            admission: RefCell::default(),
+            upstream: RefCell::default(),
             waiting: RefCell::default(),
             upstreams,
             keys,
@@ -152,20 +169,21 @@
             exchange,
             drain: drain / 2,
             link,
-            lengths: RefCell::default(),
+            response_lengths: RefCell::default(),
             start: Instant::now(),
-            changed: Notify::new(),
+            admission_changed: Notify::new(),
         })
     }
 
+    /// Time since this receiver was created.
     fn now(&self) -> Micros {
         self.start.elapsed().as_micros() as Micros
     }
 
-    /// Has a look at, or a word with, what the upstream tells of itself; what is new is told to all.
-    pub fn beats<T>(&self, word: impl FnOnce(&mut Beats) -> T) -> T {
-        let done = word(&mut self.beats.borrow_mut());
-        let upstream = self.beats.borrow().upstream().cloned();
+    /// Reads or updates the upstream's status, then passes it on to admission control and to the other processes.
+    pub fn with_upstream<T>(&self, update: impl FnOnce(&mut UpstreamTracker) -> T) -> T {
+        let result = update(&mut self.upstream.borrow_mut());
+        let upstream = self.upstream.borrow().upstream().cloned();
         let state = match upstream.as_ref().map(|u| u.condition) {
             Some(Condition::Accepting) => State::Open,
             Some(Condition::Closing) => State::Closing,
@@ -173,66 +191,68 @@
         };
         let slots = upstream.as_ref().map_or(1, |u| u.slots as usize);
         {
-            let mut gate = self.gate.borrow_mut();
-            if state == State::Closing && gate.state() == State::Open {
-                gate.close_by(self.now() + self.drain);
+            let mut admission = self.admission.borrow_mut();
+            if state == State::Closing && admission.state() == State::Open {
+                admission.limit_expiry(self.now() + self.drain);
             }
-            gate.set_upstream(state, slots);
+            admission.set_upstream(state, slots);
         }
-        self.changed.notify_one();
+        self.admission_changed.notify_one();
         self.exchange.update_local_record(|own| own.upstream = upstream);
-        done
+        result
     }
 
-    /// Nothing is with the upstream, and nothing waits for it or for the link.
+    /// Whether no request is queued or at the upstream, and no response waits for the link.
     pub fn is_idle(&self) -> bool {
-        self.gate.borrow().is_idle() && self.link.is_idle()
+        self.admission.borrow().is_idle() && self.link.is_idle()
     }
 
-    fn wake(&self, numbers: Vec<u64>, go: bool) {
+    /// Tells queued requests that they are admitted or have expired.
+    fn wake(&self, numbers: Vec<u64>, admitted: bool) {
         for number in numbers {
-            let waits = self.waiting.borrow_mut().remove(&number);
-            // Whoever left in the same moment gives its place back.
-            if waits.is_some_and(|w| w.send(go).is_err()) && go {
-                let go = self.gate.borrow_mut().complete(self.now(), 0, None);
-                self.wake(go, true);
+            let sender = self.waiting.borrow_mut().remove(&number);
+            // A request that was cancelled at the same moment gives its slot back.
+            if sender.is_some_and(|s| s.send(admitted).is_err()) && admitted {
+                let next = self.admission.borrow_mut().complete(self.now(), 0, None);
+                self.wake(next, true);
             }
         }
     }
 
-    /// Turns away those that wait too long; never returns.
-    pub async fn tend(self: Rc<Self>) {
+    /// Admits and expires queued requests when it is time; never returns.
+    pub async fn run_admission(self: Rc<Self>) {
         loop {
             let now = self.now();
-            let (late, go, due) = {
-                let mut gate = self.gate.borrow_mut();
-                (gate.expire(now), gate.fill(now), gate.due())
+            let (expired, admitted, next_expiry) = {
+                let mut admission = self.admission.borrow_mut();
+                (admission.expire(now), admission.admit_queued(now), admission.next_expiry())
             };
-            self.wake(late, false);
-            self.wake(go, true);
-            match due {
-                Some(due) => tokio::select! {
-                    () = sleep_until(self.start + Duration::from_micros(due.max(now + 1000))) => {}
-                    () = self.changed.notified() => {}
+            self.wake(expired, false);
+            self.wake(admitted, true);
+            match next_expiry {
+                Some(expiry) => tokio::select! {
+                    () = sleep_until(self.start + Duration::from_micros(expiry.max(now + 1000))) => {}
+                    () = self.admission_changed.notified() => {}
                 },
-                None => self.changed.notified().await,
+                None => self.admission_changed.notified().await,
             }
         }
     }
 
-    /// Takes connections of other balancers for good.
+    /// Accepts connections from other balancers; never returns.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    spawn_local(self.clone().connection(stream));
+                    spawn_local(self.clone().serve_connection(stream));
                 }
-                Err(_) => sleep(PAUSE).await,
+                Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
             }
         }
     }
 
-    async fn connection(self: Rc<Self>, stream: TcpStream) {
+    /// Serves one connection from another balancer.
+    async fn serve_connection(self: Rc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let service = service_fn(move |request| {
             let receiver = self.clone();
@@ -243,30 +263,33 @@
         let _ = builder.serve_connection(TokioIo::new(stream), service).await;
     }
 
-    /// Each answer says which attempt it belongs to.
+    /// Responds to a request, and echoes in the response the number of the attempt that it belongs to.
     async fn respond_numbered(self: Rc<Self>, request: Request<Incoming>) -> Response<ShapedBody> {
         let attempt = request.headers().get(header_names::ATTEMPT).cloned();
         let link = self.link.clone();
-        let mut answer = self.respond(request).await;
-        // An upstream's own header of this name says nothing here.
-        answer.headers_mut().remove(header_names::ATTEMPT);
+        let mut response = self.respond(request).await;
+        // Only this balancer may set the header; a value from the upstream has no meaning.
+        response.headers_mut().remove(header_names::ATTEMPT);
         if let Some(attempt) = attempt {
-            answer.headers_mut().insert(header_names::ATTEMPT, attempt);
+            response.headers_mut().insert(header_names::ATTEMPT, attempt);
         }
-        answer.map(|body| ShapedBody::new(body, link))
+        response.map(|body| ShapedBody::new(body, link))
     }
 
+    /// Responds to a request without the echo of the attempt number.
     async fn respond(self: Rc<Self>, request: Request<Incoming>) -> Answered {
-        let came = self.now();
+        let arrived_at = self.now();
         let (head, body) = request.into_parts();
         let text = |name: &HeaderName| head.headers.get(name).and_then(|v| v.to_str().ok());
-        let left =
-            text(&header_names::TIME_LEFT).and_then(number).map_or(LONGEST, |ms| ms.saturating_mul(1000));
-        let until = came + left.min(LONGEST);
+        let time_left = text(&header_names::TIME_LEFT)
+            .and_then(number)
+            .map_or(MAX_TIME_LEFT, |ms| ms.saturating_mul(1000));
+        let deadline = arrived_at + time_left.min(MAX_TIME_LEFT);
         let time_to_target =
-            text(&header_names::AIM).and_then(number).map_or(left, |ms| ms.saturating_mul(1000));
-        let limit =
-            text(&header_names::LIMIT).and_then(number).map_or(left, |ms| ms.saturating_mul(1000).min(left));
+            text(&header_names::AIM).and_then(number).map_or(time_left, |ms| ms.saturating_mul(1000));
+        let limit = text(&header_names::LIMIT)
+            .and_then(number)
+            .map_or(time_left, |ms| ms.saturating_mul(1000).min(time_left));
         let max_wait = text(&header_names::HOLD).and_then(number).map_or(limit, |ms| ms.saturating_mul(1000));
         let priority =
             text(&header_names::RANK).and_then(|priority| priority.parse().ok()).unwrap_or(u8::MAX);
@@ -275,14 +298,14 @@
             kind,
             priority,
             time_to_target,
-            time_left: limit.min(LONGEST),
+            time_left: limit.min(MAX_TIME_LEFT),
             max_wait,
             link_wait: 0,
             link_time: 0,
         };
         let (id, address) = {
-            let beats = self.beats.borrow();
-            match (beats.upstream(), beats.address()) {
+            let tracker = self.upstream.borrow();
+            match (tracker.upstream(), tracker.address()) {
                 (Some(upstream), Some(address)) => (upstream.id.clone(), address),
                 _ => return not_run(StatusCode::SERVICE_UNAVAILABLE, "no upstream here", None),
             }
@@ -290,14 +313,14 @@
         if text(&header_names::ADDRESSEE).is_some_and(|to| to != id) {
             return not_run(StatusCode::MISDIRECTED_REQUEST, "another upstream is here", None);
         }
-        let Ok(body) = Limited::new(body, MOST_BODY).collect().await else {
+        let Ok(body) = Limited::new(body, MAX_BODY_BYTES).collect().await else {
             return not_run(StatusCode::BAD_REQUEST, "the body broke off or is too large", None);
         };
         let key =
             head.headers.get(header_names::KEYED).and_then(|_| head.headers.get(header_names::OPERATION_KEY));
         let key = key.map(|k| Bytes::copy_from_slice(k.as_bytes()));
         let mut headers = end_to_end(&head.headers);
-        for own in [
+        for internal in [
             header_names::KEYED,
             header_names::KIND,
             header_names::RANK,
@@ -307,7 +330,7 @@
             header_names::HOLD,
             header_names::ATTEMPT,
         ] {
-            headers.remove(own);
+            headers.remove(internal);
         }
         if let Ok(id) = HeaderValue::from_str(&id) {
             headers.insert(header_names::ADDRESSEE, id);
@@ -319,65 +342,72 @@
         let target = Target { server: 0, address };
         let try_id = head.headers.get(header_names::TRY_ID).cloned();
         let once = head.headers.contains_key(header_names::ONCE);
-        let going = Going { call, id: try_id, target, came, until, arrival, upstream: id };
+        let request = ForwardRequest { call, try_id, target, arrived_at, deadline, arrival, upstream: id };
         match key {
-            None if once => self.forward_once(going).await,
-            None => self.forward(going).await,
-            // Once it is under way it goes on, whoever still waits for it.
+            None if once => self.forward_once(request).await,
+            None => self.forward(request).await,
+            // A keyed request continues even if the sender disconnects.
             Some(key) => {
-                let (sender, answer) = oneshot::channel();
+                let (sender, response) = oneshot::channel();
                 spawn_local(async move {
-                    let answer = self.keyed(going, key).await;
-                    let _ = sender.send(answer);
+                    let response = self.forward_keyed(request, key).await;
+                    let _ = sender.send(response);
                 });
-                answer.await.unwrap_or_else(|_| plain(StatusCode::BAD_GATEWAY, "the run broke off"))
+                response.await.unwrap_or_else(|_| plain(StatusCode::BAD_GATEWAY, "the run broke off"))
             }
         }
     }
 
-    /// How long the answer to such a request will wait for the link and then take there.
-    fn outlook(&self, kind: u64) -> (Micros, Micros) {
-        let length = self.lengths.borrow().long(kind);
-        length.map_or((0, 0), |length| self.link.outlook(length))
+    /// Expected wait for the link, and expected transmission time, of a response to a request of this kind.
+    fn link_estimate(&self, kind: u64) -> (Micros, Micros) {
+        let length = self.response_lengths.borrow().long_mean(kind);
+        length.map_or((0, 0), |length| self.link.estimate(length))
     }
 
-    /// A place with the upstream, or the answer where there is none.
-    async fn place(self: &Rc<Self>, arrival: Arrival, came: Micros) -> Result<Place, Answered> {
+    /// Waits for a permit to use the upstream. If there is none, returns the response to send instead.
+    async fn acquire_permit(
+        self: &Rc<Self>,
+        arrival: Arrival,
+        arrived_at: Micros,
+    ) -> Result<Permit, Answered> {
         let now = self.now();
-        let age = now.saturating_sub(came);
+        let age = now.saturating_sub(arrived_at);
         let [time_to_target, time_left, max_wait] =
             [arrival.time_to_target, arrival.time_left, arrival.max_wait].map(|t| t.saturating_sub(age));
-        if time_left < LEAST {
+        if time_left < MIN_TIME_LEFT {
             return Err(not_run(StatusCode::SERVICE_UNAVAILABLE, "too little time left", None));
         }
         let kind = arrival.kind;
-        let (link_wait, link_time) = self.outlook(kind);
+        let (link_wait, link_time) = self.link_estimate(kind);
         let arrival = Arrival { link_wait, link_time, ..arrival };
-        let verdict =
-            self.gate.borrow_mut().arrive(now, Arrival { time_to_target, time_left, max_wait, ..arrival });
-        let expected = self.lengths.borrow().long(kind).map(|length| self.link.expect(length));
-        let place = || {
+        let verdict = self
+            .admission
+            .borrow_mut()
+            .arrive(now, Arrival { time_to_target, time_left, max_wait, ..arrival });
+        let expected =
+            self.response_lengths.borrow().long_mean(kind).map(|length| self.link.expect_response(length));
+        let permit = || {
             let since = self.now();
             metrics::GATE_ADMITTED.increment();
             metrics::GATE_WAIT.add(since.saturating_sub(now));
-            Place { receiver: self.clone(), kind, since, told: false, expected }
+            Permit { receiver: self.clone(), kind, since, responded: false, expected }
         };
         match verdict {
-            Verdict::Go => Ok(place()),
-            Verdict::Full(wait) => {
+            Verdict::Admit => Ok(permit()),
+            Verdict::Reject(wait) => {
                 metrics::GATE_REFUSED.increment();
                 Err(not_run(StatusCode::SERVICE_UNAVAILABLE, "no room", Some(wait)))
             }
             Verdict::Closed => Err(not_run(StatusCode::SERVICE_UNAVAILABLE, "the upstream leaves", None)),
-            Verdict::Wait(number) => {
-                let (sender, go) = oneshot::channel();
+            Verdict::Queue(number) => {
+                let (sender, admitted) = oneshot::channel();
                 self.waiting.borrow_mut().insert(number, sender);
-                self.changed.notify_one();
-                let waits = Waits { receiver: self, number };
-                let go = go.await;
-                drop(waits);
-                match go {
-                    Ok(true) => Ok(place()),
+                self.admission_changed.notify_one();
+                let guard = QueueGuard { receiver: self, number };
+                let admitted = admitted.await;
+                drop(guard);
+                match admitted {
+                    Ok(true) => Ok(permit()),
                     _ => {
                         metrics::GATE_EXPIRED.increment();
                         metrics::GATE_EXPIRED_WAIT.add(self.now().saturating_sub(now));
@@ -388,155 +418,169 @@
         }
     }
 
-    /// Sends a request to the upstream; its answer, or how it went where there is none.
-    async fn run(self: &Rc<Self>, going: &Going, mut place: Place) -> Ran {
-        let left = going.until.saturating_sub(self.now()).saturating_sub(WAY_BACK);
-        if left < LEAST {
-            return Ran::Not(not_run(StatusCode::SERVICE_UNAVAILABLE, "too little time left", None));
+    /// Sends a request to the upstream. Returns the response, or whether the request may have run without one.
+    async fn run(self: &Rc<Self>, request: &ForwardRequest, mut permit: Permit) -> RunResult {
+        let time_left = request.deadline.saturating_sub(self.now()).saturating_sub(RESPONSE_TRANSIT);
+        if time_left < MIN_TIME_LEFT {
+            return RunResult::NotRun(not_run(StatusCode::SERVICE_UNAVAILABLE, "too little time left", None));
         }
-        let id = going.id.clone();
-        let right = move |status: StatusCode, headers: &HeaderMap| {
-            // An answer that came in the place of this one's belongs to another request.
-            let whose = headers.get(header_names::TRY_ID) == id.as_ref();
-            whose && (!status.is_success() || headers.contains_key(header_names::POSTMARK))
+        let id = request.try_id.clone();
+        let is_matching = move |status: StatusCode, headers: &HeaderMap| {
+            // A response with another try id belongs to another request.
+            let same_try = headers.get(header_names::TRY_ID) == id.as_ref();
+            same_try && (!status.is_success() || headers.contains_key(header_names::POSTMARK))
         };
-        match self.upstreams.relay(going.target, &going.call, left, right).await {
+        match self.upstreams.relay(request.target, &request.call, time_left, is_matching).await {
             Relayed::NotSent => {
-                // The upstream is gone, or takes no more connections: its next beat tells.
-                if self.beats(|b| b.unreachable(&going.upstream)) {
-                    debug!(target: "upstream", "{} can't be reached.", going.upstream);
+                // The upstream is gone or accepts no connections; its next heartbeat makes it available again.
+                if self.with_upstream(|u| u.mark_unreachable(&request.upstream)) {
+                    debug!(target: "upstream", "Upstream {} cannot be reached.", request.upstream);
                 }
-                Ran::Not(not_run(StatusCode::SERVICE_UNAVAILABLE, "the upstream can't be reached", None))
+                RunResult::NotRun(not_run(
+                    StatusCode::SERVICE_UNAVAILABLE,
+                    "the upstream can't be reached",
+                    None,
+                ))
             }
-            Relayed::Broken(why) => {
-                debug!(target: "upstream", "{} broke off: {why:?}.", going.upstream);
-                Ran::Unknown(plain(StatusCode::BAD_GATEWAY, "the upstream broke off"))
+            Relayed::Broken(cause) => {
+                debug!(target: "upstream", "Upstream {} broke off the response: {cause:?}.", request.upstream);
+                RunResult::Unknown(plain(StatusCode::BAD_GATEWAY, "the upstream broke off"))
             }
             Relayed::Answered(reply) if reply.status == StatusCode::MISDIRECTED_REQUEST => {
                 drop(reply);
-                Ran::Not(not_run(StatusCode::MISDIRECTED_REQUEST, "another upstream is here", None))
+                RunResult::NotRun(not_run(StatusCode::MISDIRECTED_REQUEST, "another upstream is here", None))
             }
             Relayed::Answered(reply) if reply.headers.contains_key(header_names::NOT_RUN) => {
-                Ran::Not(not_run(StatusCode::SERVICE_UNAVAILABLE, "the upstream is full", None))
+                RunResult::NotRun(not_run(StatusCode::SERVICE_UNAVAILABLE, "the upstream is full", None))
             }
             Relayed::Answered(mut reply) => {
-                place.done();
+                permit.set_responded();
                 if let (true, Some(length)) = (reply.status.is_success(), reply.body.size_hint().exact()) {
-                    self.lengths.borrow_mut().learn(going.arrival.kind, length);
+                    self.response_lengths.borrow_mut().record(request.arrival.kind, length);
                 }
                 if let Payload::Passing(passing) = &mut reply.body {
-                    let (receiver, begun) = (self.clone(), self.now());
+                    let (receiver, started) = (self.clone(), self.now());
                     passing.at_end(move |_| {
-                        metrics::GATE_HELD_PASSING.add(receiver.now().saturating_sub(begun));
-                        drop(place);
+                        metrics::GATE_HELD_PASSING.add(receiver.now().saturating_sub(started));
+                        drop(permit);
                     });
                 }
-                Ran::Answered(reply)
+                RunResult::Responded(reply)
             }
         }
     }
 
-    /// Forwards what must not run again: once it is with its upstream it is not broken off, whoever still waits for it.
-    async fn forward_once(self: Rc<Self>, going: Going) -> Answered {
-        let place = match self.place(going.arrival, going.came).await {
-            Ok(place) => place,
-            Err(answer) => return answer,
+    /// Forwards a request that must not run twice: once it is at the upstream it is not cancelled, even if the sender
+    /// disconnects.
+    async fn forward_once(self: Rc<Self>, request: ForwardRequest) -> Answered {
+        let permit = match self.acquire_permit(request.arrival, request.arrived_at).await {
+            Ok(permit) => permit,
+            Err(response) => return response,
         };
-        let (sender, answer) = oneshot::channel();
+        let (sender, response) = oneshot::channel();
         spawn_local(async move {
-            let answer = match self.run(&going, place).await {
-                Ran::Not(answer) | Ran::Unknown(answer) => answer,
-                Ran::Answered(reply) => passed(reply),
+            let response = match self.run(&request, permit).await {
+                RunResult::NotRun(response) | RunResult::Unknown(response) => response,
+                RunResult::Responded(reply) => forwarded(reply),
             };
-            let _ = sender.send(answer);
+            let _ = sender.send(response);
         });
-        answer.await.unwrap_or_else(|_| plain(StatusCode::BAD_GATEWAY, "the run broke off"))
+        response.await.unwrap_or_else(|_| plain(StatusCode::BAD_GATEWAY, "the run broke off"))
     }
 
-    async fn forward(self: Rc<Self>, going: Going) -> Answered {
-        let place = match self.place(going.arrival, going.came).await {
-            Ok(place) => place,
-            Err(answer) => return answer,
+    /// Forwards a request; it is cancelled if the sender disconnects.
+    async fn forward(self: Rc<Self>, request: ForwardRequest) -> Answered {
+        let permit = match self.acquire_permit(request.arrival, request.arrived_at).await {
+            Ok(permit) => permit,
+            Err(response) => return response,
         };
-        match self.run(&going, place).await {
-            Ran::Not(answer) | Ran::Unknown(answer) => answer,
-            Ran::Answered(reply) => passed(reply),
+        match self.run(&request, permit).await {
+            RunResult::NotRun(response) | RunResult::Unknown(response) => response,
+            RunResult::Responded(reply) => forwarded(reply),
         }
     }
 
-    /// What this machine knows of a run that another request has begun.
-    fn recalled(&self, key: &Bytes, run: u64) -> Option<RpcResponse> {
+    /// State of a run that an earlier request has started on this machine, if it is known here.
+    fn known_run(&self, key: &Bytes, run: u64) -> Option<RpcResponse> {
         match self.ledger.borrow().get(key) {
-            Some((known, entry)) if *known == run => Some(match entry {
+            Some((known, state)) if *known == run => Some(match state {
                 RunState::Running => RpcResponse::RunInProgress,
-                RunState::Finished(answer) => RpcResponse::RunFinished(answer.clone()),
+                RunState::Finished(response) => RpcResponse::RunFinished(response.clone()),
             }),
             _ => None,
         }
     }
 
-    /// Answers another balancer that asks for it.
-    pub fn recall(&self, key: &Bytes, run: u64) -> RpcResponse {
-        self.recalled(key, run)
+    /// Answers another balancer's question about the result of a run.
+    pub fn run_result(&self, key: &Bytes, run: u64) -> RpcResponse {
+        self.known_run(key, run)
             .unwrap_or_else(|| RpcResponse::Unavailable("this run is not known here".to_owned()))
     }
 
-    /// The balancers that keep answers for a holder in case it forgets them: of its own zone, the nearest by rendezvous.
-    fn keepers(&self, holder: &str) -> Vec<SocketAddr> {
+    /// Addresses of the balancers that store replicas of a holder's responses in case it loses them: balancers of its own
+    /// zone, selected by rendezvous hashing.
+    fn replica_holders(&self, holder: &str) -> Vec<SocketAddr> {
         let records = self.exchange.view().records();
         let Some(zone) = records.get(holder).map(|r| r.zone.as_str()) else { return Vec::new() };
-        let near = records.values().filter(|r| !r.is_core && r.zone == zone).map(|r| r.source.as_str());
-        let picked = top_candidates(holder, near, KEEPERS);
-        picked.iter().filter_map(|name| records.get(*name)).map(|r| r.mesh_address).collect()
+        let same_zone = records.values().filter(|r| !r.is_core && r.zone == zone).map(|r| r.source.as_str());
+        let candidates = top_candidates(holder, same_zone, REPLICA_CANDIDATES);
+        candidates.iter().filter_map(|name| records.get(*name)).map(|r| r.mesh_address).collect()
     }
 
-    /// Keeps an answer for another holder.
-    pub fn keep(&self, key: &Bytes, run: u64, answer: StoredResponse) {
-        self.ledger.borrow_mut().store_replica(self.now() / 1000, key, run, answer);
+    /// Stores a replica of a response for the machine that holds the claim.
+    pub fn store_replica(&self, key: &Bytes, run: u64, response: StoredResponse) {
+        self.ledger.borrow_mut().store_replica(self.now() / 1000, key, run, response);
     }
 
-    /// The answer to a repeat.
-    async fn repeat(&self, key: &Bytes, run: u64, holder: &str, id: Option<HeaderValue>) -> Answered {
-        let me = self.exchange.local_record();
-        let mut told = self.recalled(key, run);
-        let mut ask = Vec::new();
-        if me.source != holder {
-            ask.extend(self.exchange.view().records().get(holder).map(|r| r.mesh_address));
+    /// Responds to a repeat of a keyed request, with the first response if it can still be found.
+    async fn answer_repeat(
+        &self,
+        key: &Bytes,
+        run: u64,
+        holder: &str,
+        try_id: Option<HeaderValue>,
+    ) -> Answered {
+        let own = self.exchange.local_record();
+        let mut result = self.known_run(key, run);
+        let mut holders = Vec::new();
+        if own.source != holder {
+            holders.extend(self.exchange.view().records().get(holder).map(|r| r.mesh_address));
         }
-        ask.extend(self.keepers(holder));
-        for mesh in ask.into_iter().filter(|mesh| *mesh != me.mesh_address) {
-            if matches!(told, Some(RpcResponse::RunInProgress | RpcResponse::RunFinished(Some(_)))) {
+        holders.extend(self.replica_holders(holder));
+        for address in holders.into_iter().filter(|address| *address != own.mesh_address) {
+            if matches!(result, Some(RpcResponse::RunInProgress | RpcResponse::RunFinished(Some(_)))) {
                 break;
             }
-            told = self.keys.recall(mesh, key, run).await.ok();
+            result = self.keys.run_result(address, key, run).await.ok();
         }
-        match told {
+        match result {
             Some(RpcResponse::RunInProgress) => plain(StatusCode::CONFLICT, "this key is at work"),
-            Some(RpcResponse::RunFinished(Some(answer))) => again(answer, id),
+            Some(RpcResponse::RunFinished(Some(response))) => replay(response, try_id),
             _ => {
-                debug!(target: "repeat", "The answer to a run of {holder} is lost.");
+                debug!(target: "repeat", "The stored response of a run on {holder} is lost.");
                 plain(StatusCode::BAD_GATEWAY, "it ran or may have run, and its answer is lost")
             }
         }
     }
 
-    async fn keyed(self: Rc<Self>, going: Going, key: Bytes) -> Answered {
+    /// Forwards a keyed request if its key can be claimed; otherwise it is answered as a repeat.
+    async fn forward_keyed(self: Rc<Self>, request: ForwardRequest, key: Bytes) -> Answered {
         let known = self.ledger.borrow().get(&key).map(|(run, _)| *run);
         if let Some(run) = known {
             let own = self.exchange.local_record().source;
-            return self.repeat(&key, run, &own, going.id).await;
+            return self.answer_repeat(&key, run, &own, request.try_id).await;
         }
         let run = fastrand::u64(1..);
         self.ledger.borrow_mut().start(self.now() / 1000, &key, run);
-        let left = Duration::from_micros(going.until.saturating_sub(self.now()));
-        match self.keys.claim(&key, run, left / 2).await {
+        let time_left = Duration::from_micros(request.deadline.saturating_sub(self.now()));
+        match self.keys.claim(&key, run, time_left / 2).await {
             Ok(ClaimOutcome::Granted) => {}
             Ok(ClaimOutcome::Held { run: first, holder }) => {
                 self.ledger.borrow_mut().remove_run(&key, run);
-                return self.repeat(&key, first, &holder, going.id).await;
+                return self.answer_repeat(&key, first, &holder, request.try_id).await;
             }
-            Err(why) => {
-                debug!(target: "keys", "Not claimed: {why:#}.");
+            Err(error) => {
+                debug!(target: "keys", "An operation key could not be claimed: {error:#}.");
                 self.ledger.borrow_mut().remove_run(&key, run);
                 return not_run(
                     StatusCode::SERVICE_UNAVAILABLE,
@@ -545,42 +589,43 @@
                 );
             }
         }
-        let ran = match self.place(going.arrival, going.came).await {
-            Ok(place) => self.run(&going, place).await,
-            Err(answer) => Ran::Not(answer),
+        let result = match self.acquire_permit(request.arrival, request.arrived_at).await {
+            Ok(permit) => self.run(&request, permit).await,
+            Err(response) => RunResult::NotRun(response),
         };
-        match ran {
-            Ran::Not(answer) => {
+        match result {
+            RunResult::NotRun(response) => {
                 self.keys.release(&key, run).await;
                 self.ledger.borrow_mut().remove_run(&key, run);
-                answer
+                response
             }
-            Ran::Unknown(answer) => {
+            RunResult::Unknown(response) => {
                 self.ledger.borrow_mut().finish(&key, run, None);
-                answer
+                response
             }
-            Ran::Answered(reply) => {
-                let (answer, kept) = match whole(reply).await {
+            RunResult::Responded(reply) => {
+                let (response, stored) = match collect(reply).await {
                     Ok(whole) => whole,
-                    Err(answer) => (answer, None),
+                    Err(response) => (response, None),
                 };
-                let me = self.exchange.local_record().source;
-                if let (Some(answer), Some(keeper)) = (&kept, self.keepers(&me).first()) {
-                    self.keys.keep(*keeper, key.clone(), run, answer.clone());
+                let own = self.exchange.local_record().source;
+                if let (Some(response), Some(replica_holder)) = (&stored, self.replica_holders(&own).first())
+                {
+                    self.keys.store_replica(*replica_holder, key.clone(), run, response.clone());
                 }
-                self.ledger.borrow_mut().finish(&key, run, kept);
-                answer
+                self.ledger.borrow_mut().finish(&key, run, stored);
+                response
             }
         }
     }
 }
 
-/// How a run went.
-enum Ran {
-    /// It never ran.
-    Not(Answered),
-    /// It may have run.
+/// Result of forwarding a request to the upstream.
+enum RunResult {
+    /// The request never ran and never will; the response says so.
+    NotRun(Answered),
+    /// The request may have run, but the upstream's response is lost.
     Unknown(Answered),
-    /// It ran.
-    Answered(Reply),
+    /// The request ran and the upstream responded.
+    Responded(Reply),
 }
--- a/mesh/data-plane/src/services.rs
+++ b/mesh/data-plane/src/services.rs
@@ -1,5 +1,5 @@
-//! The services that this balancer sends to: for each one engine with the module, as the configuration and the list of
-//! upstreams have it.
+//! The services that this balancer sends requests to. Each class of requests of a service has a load-balancing engine,
+//! which follows the routing configuration and the list of known upstreams.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -26,45 +26,47 @@
 
 use crate::header_names;
 
-/// A connection between balancers that does not come up in this time has failed.
-const CONNECT: Micros = 300_000;
-/// Idle connections between balancers are kept about so long.
-const IDLE: Micros = 30_000_000;
-/// Answers up to here are held, larger ones pass through.
-const HELD: usize = 256 << 10;
-/// Most bytes of an answer.
-const MOST_ANSWER: usize = 1 << 30;
-/// Most engines of a service; classes beyond share one.
-const MOST_APART: usize = 32;
-/// The group of those.
-const TOGETHER: &str = "together";
-/// Gates that may turn a request away beyond its tries.
-const GATES: u32 = 2;
-/// Share of its capacity that a cold upstream has.
-const COLD_FROM: f64 = 0.4;
-/// An upstream counts as warm after this.
-const WARM_AFTER: Micros = 3_000_000;
+/// Time limit for connecting to another balancer.
+const CONNECT_TIMEOUT_MICROS: Micros = 300_000;
+/// How long idle connections to other balancers are kept, approximately.
+const IDLE_CLOSE_MICROS: Micros = 30_000_000;
+/// Responses up to this size are buffered whole; larger ones are streamed.
+const MAX_BUFFERED_RESPONSE_BYTES: usize = 256 << 10;
+/// Maximum size of a response.
+const MAX_RESPONSE_BYTES: usize = 1 << 30;
+/// Maximum number of engines with a class of their own per service; all further classes share one engine.
+const MAX_ENGINES_PER_SERVICE: usize = 32;
+/// Group name of the engine that the classes beyond [`MAX_ENGINES_PER_SERVICE`] share.
+const SHARED_GROUP: &str = "together";
+/// Attempts allowed in addition to a route's configured tries, because an attempt that is rejected by the admission control
+/// of another balancer has not reached an upstream.
+const EXTRA_ATTEMPTS: u32 = 2;
+/// Share of its full capacity that an upstream has when it starts.
+const COLD_CAPACITY_SHARE: f64 = 0.4;
+/// Time after which a started upstream counts as warm.
+const WARM_AFTER_MICROS: Micros = 3_000_000;
 
-/// The way to other balancers.
-pub struct Rails {
+/// Sends requests to upstreams through the balancers beside them.
+pub struct MeshTransport {
     upstreams: Upstreams,
     clock: Rc<Clock>,
-    /// Which upstream is behind each balancer.
-    behind: RefCell<HashMap<SocketAddr, HeaderValue>>,
+    /// Identifier of the upstream behind each balancer, by the balancer's address.
+    upstream_ids: RefCell<HashMap<SocketAddr, HeaderValue>>,
 }
 
-impl Transport for Rails {
+impl Transport for MeshTransport {
     type Call = Call;
     type Reply = Reply;
     type Attempt = Attempt;
 
     fn send(&self, to: Target, call: Rc<Call>, limit: Micros, report: AttemptReport<Self>) -> Attempt {
         let mut headers = call.headers.clone();
-        if let Some(id) = self.behind.borrow().get(&to.address) {
+        if let Some(id) = self.upstream_ids.borrow().get(&to.address) {
             headers.insert(header_names::ADDRESSEE, id.clone());
         }
-        // Moments as the other has them: its clock is not this one's. An upstream is told all of the client's time, and the
-        // attempt ends from this side: whoever is told to stop may then leave it the rest.
+        // Points in time are sent as remaining milliseconds, because the receiver has another clock. The upstream gets all of
+        // the client's remaining time, and this side ends the attempt: a balancer that is told to stop can then still let
+        // the upstream use the rest.
         for name in [header_names::AIM, header_names::TIME_LEFT, header_names::HOLD] {
             let at = headers.get(&name).and_then(|v| v.to_str().ok()).and_then(number);
             if let Some(at) = at {
@@ -88,7 +90,7 @@
         out.abort()
     }
 
-    // Nothing is probed: the balancer beside an upstream knows how it is.
+    // Upstreams are not probed: the balancer beside an upstream publishes its condition.
     fn probe(&self, _engine: &Rc<Engine<Self>>, _to: Target) {}
 
     fn close_idle(&self, server: ServerId) {
@@ -100,16 +102,19 @@
     fn fetch(&self, _engine: &Rc<Engine<Self>>) {}
 }
 
-/// A service that is sent to, for requests of one class.
+/// A service as the target of one group of request classes.
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// Its engine.
-    pub engine: Rc<Engine<Rails>>,
-    /// Requests between head and answer, by class.
+    /// The engine that distributes requests over the service's upstreams.
+    pub engine: Rc<Engine<MeshTransport>>,
+    /// Counts the requests whose header has arrived and whose response has not, by class.
     pub admitted: Rc<Admitted>,
+    /// The classes of the engine.
     slots: RefCell<Vec<ClassSlot>>,
-    listed: RefCell<Vec<DiscoveryEntry>>,
+    /// The upstreams last passed to the engine.
+    upstreams: RefCell<Vec<DiscoveryEntry>>,
+    /// Background tasks, aborted when the service is dropped.
     tasks: Vec<AbortHandle>,
 }
 
@@ -119,91 +124,100 @@
     }
 }
 
-/// A class as routes need it: the same for all routes of a service that say the same.
+/// The request class of a route. Routes with equal settings have equal classes.
 fn slot(route: &Route) -> ClassSlot {
     let effect = match route.route_kind {
         RouteKind::Safe | RouteKind::Download => Effect::Safe,
-        // Keyed ones too: the balancer beside the upstream keeps the key, but a further arrival costs the budget.
+        // Tracked routes as well: the balancer beside the upstream checks the operation key, but a repeated attempt uses up
+        // retry budget.
         RouteKind::Unsafe | RouteKind::Tracked => Effect::Unsafe,
     };
-    let worth = match route.precedence {
+    let class_value = match route.precedence {
         0 => 4.0,
         1 => 2.0,
         _ => 1.0,
     };
-    let (aim, deadline) = (route.target.0.max(1_000), route.dispatch.timeout.0);
+    let (target, deadline) = (route.target.0.max(1_000), route.dispatch.timeout.0);
     let class = fs::Class {
         effect,
-        latency_target: aim,
+        latency_target: target,
         target_per_work: 0.0,
         deadline,
-        value: worth,
+        value: class_value,
         late_value_ratio: 0.15,
         stream: false,
     };
     let kind = route.route_kind;
-    ClassSlot { name: format!("{kind:?}/{}/{aim}/{deadline}", route.precedence), class }
+    ClassSlot { name: format!("{kind:?}/{}/{target}/{deadline}", route.precedence), class }
 }
 
+/// The HTTP conventions between balancers, for the sending side.
 fn dialect() -> Dialect {
     let statuses = [503, 429, 421, 408, 400].into_iter().filter_map(|s| StatusCode::from_u16(s).ok());
     Dialect {
         deadline: Some(header_names::LIMIT),
         only_ok: false,
         declined: Some((header_names::NOT_RUN, HeaderValue::from_static("1"), statuses.collect())),
-        most_answer: MOST_ANSWER,
-        held: HELD,
+        most_answer: MAX_RESPONSE_BYTES,
+        held: MAX_BUFFERED_RESPONSE_BYTES,
         forwards: false,
         errors: true,
         echo: Some(header_names::ATTEMPT),
     }
 }
 
-/// What all services share.
-pub struct Ground {
+/// Context that all services share.
+pub struct ServiceContext {
     /// This balancer's zone.
     pub zone: String,
-    /// How many zones there are.
+    /// Number of zones.
     pub zones: u32,
-    /// The time that aims are told by.
+    /// The clock that latency targets refer to.
     pub clock: Rc<Clock>,
-    /// Connections to other balancers.
+    /// Limits the number of connections to other balancers.
     pub connections: Rc<Share>,
 }
 
-/// A service, and what the classes of one engine have in common.
+/// Key of an engine: the name of the service, and the name of the class group that uses the engine.
 type Group = (String, String);
 
-/// All services, as of one configuration and one list.
+/// All services of the present configuration, with the present list of upstreams.
 #[derive(Default)]
 pub struct Services {
+    /// Services by name and class group.
     by_group: BTreeMap<Group, Rc<Service>>,
-    /// Attempts are not cut short now.
-    keeps: bool,
+    /// Whether attempts that an upstream may be processing are left to finish.
+    cancellation_disabled: bool,
 }
 
-/// Where a route leads.
-pub struct Lead {
-    /// What its requests have in common with others that take as long.
+/// The services that a route sends its requests to.
+pub struct RouteTarget {
+    /// Name shared by all requests of similar processing time, sent in the `x-mesh-kind` header.
     pub kind: HeaderValue,
-    /// The services, the class of the route in each, and their weights.
-    pub sides: Vec<(Rc<Service>, fs::ClassId, u32)>,
+    /// The services with the route's class in each, and the weights by which requests are split among them.
+    pub splits: Vec<(Rc<Service>, fs::ClassId, u32)>,
 }
 
 impl Services {
-    /// Goes by a table from now on; what each of its routes leads to.
-    pub fn plan(&mut self, table: &Table, ground: &Ground) -> Result<Vec<Lead>> {
-        // Each class of a service has an engine of its own: what one is turned away for says nothing of another, and least of
-        // all may requests wait that others wait for.
+    /// Applies a route table. Returns the target of each route, in the order of the table.
+    pub fn configure(&mut self, table: &Table, context: &ServiceContext) -> Result<Vec<RouteTarget>> {
+        // Each class of a service has an engine of its own: the rejection of one class says nothing about another class, and
+        // above all a request on which other requests depend must not wait because of them.
         let mut wanted: BTreeMap<(&str, String), Vec<ClassSlot>> = BTreeMap::new();
         for route in table.routes() {
             let slot = slot(route);
-            for (line, _) in route.dispatch.weighted_services() {
-                let apart =
-                    wanted.range((line, String::new())..).take_while(|((l, _), _)| *l == line).count();
-                let known = wanted.contains_key(&(line, slot.name.clone()));
-                let group = if known || apart < MOST_APART { slot.name.clone() } else { TOGETHER.to_owned() };
-                let slots = wanted.entry((line, group)).or_default();
+            for (service_name, _) in route.dispatch.weighted_services() {
+                let engines = wanted
+                    .range((service_name, String::new())..)
+                    .take_while(|((l, _), _)| *l == service_name)
+                    .count();
+                let group_exists = wanted.contains_key(&(service_name, slot.name.clone()));
+                let group = if group_exists || engines < MAX_ENGINES_PER_SERVICE {
+                    slot.name.clone()
+                } else {
+                    SHARED_GROUP.to_owned()
+                };
+                let slots = wanted.entry((service_name, group)).or_default();
                 if !slots.contains(&slot) {
                     slots.push(slot.clone());
                 }
@@ -211,49 +225,53 @@
         }
         let tries = table.routes().iter().map(|r| r.dispatch.tries).max().unwrap_or(1);
         let mut numbers: HashMap<(String, String), (Group, fs::ClassId)> = HashMap::new();
-        for ((line, group), slots) in &wanted {
-            let group: Group = ((*line).to_owned(), group.clone());
+        for ((service_name, group), slots) in &wanted {
+            let group: Group = ((*service_name).to_owned(), group.clone());
             let service = self.by_group.get(&group);
             let old = service.map(|s| s.slots.borrow().clone()).unwrap_or_default();
             let uses = |at| service.is_some_and(|s| s.admitted.any(at) || s.engine.class_in_use(at));
             let assigned = assign(&old, slots, uses);
             for (slot, number) in slots.iter().zip(&assigned.class_ids) {
-                numbers.insert(((*line).to_owned(), slot.name.clone()), (group.clone(), *number));
+                numbers.insert(((*service_name).to_owned(), slot.name.clone()), (group.clone(), *number));
             }
             let classes = assigned.slots.iter().map(|s| s.class.clone()).collect();
             let mut zones = NameTable::default();
-            let settings = settings(ground, &mut zones, classes, tries);
+            let settings = settings(context, &mut zones, classes, tries);
             match service {
                 Some(service) => {
                     let done = service.engine.reconfigure(settings, &assigned.inherited);
-                    done.map_err(|e| anyhow!("{line}: {e}"))?;
+                    done.map_err(|e| anyhow!("{service_name}: {e}"))?;
                     *service.slots.borrow_mut() = assigned.slots;
                 }
                 None => {
-                    let service = start(line, settings, &zones, ground, assigned.slots)?;
-                    service.engine.set_cancellation(!self.keeps);
+                    let service = start(service_name, settings, &zones, context, assigned.slots)?;
+                    service.engine.set_cancellation(!self.cancellation_disabled);
                     self.by_group.insert(group, Rc::new(service));
                 }
             }
         }
-        // Requests that are open keep theirs.
-        self.by_group.retain(|(line, group), _| wanted.contains_key(&(line.as_str(), group.clone())));
-        let lead = |route: &Route| {
+        // Requests in progress keep a reference to their service.
+        self.by_group
+            .retain(|(service_name, group), _| wanted.contains_key(&(service_name.as_str(), group.clone())));
+        let target_of = |route: &Route| {
             let name = slot(route).name;
-            let side = |(line, share): (&str, u32)| {
-                let (group, number) = numbers.get(&(line.to_owned(), name.clone()))?;
+            let split = |(service_name, share): (&str, u32)| {
+                let (group, number) = numbers.get(&(service_name.to_owned(), name.clone()))?;
                 Some((self.by_group.get(group)?.clone(), *number, share))
             };
             let kind = HeaderValue::from_str(&name).unwrap_or_else(|_| HeaderValue::from_static("other"));
-            Lead { kind, sides: route.dispatch.weighted_services().into_iter().filter_map(side).collect() }
+            RouteTarget {
+                kind,
+                splits: route.dispatch.weighted_services().into_iter().filter_map(split).collect(),
+            }
         };
-        Ok(table.routes().iter().map(lead).collect())
+        Ok(table.routes().iter().map(target_of).collect())
     }
 
-    /// Tells each service its upstreams.
-    pub fn list(&self, records: &BTreeMap<String, Rc<Record>>) {
+    /// Passes the upstreams in these records to the services that they belong to.
+    pub fn update_upstreams(&self, records: &BTreeMap<String, Rc<Record>>) {
         let mut lists: BTreeMap<&str, Vec<DiscoveryEntry>> = BTreeMap::new();
-        let mut behind = HashMap::new();
+        let mut upstream_ids = HashMap::new();
         for record in records.values() {
             let (Some(upstream), Some(incoming)) = (&record.upstream, record.incoming_address) else {
                 continue;
@@ -261,9 +279,9 @@
             if upstream.condition == Condition::Down {
                 continue;
             }
-            let leaves = record.leaving || upstream.condition == Condition::Closing;
+            let draining = record.leaving || upstream.condition == Condition::Closing;
             if let Ok(id) = HeaderValue::from_str(&upstream.id) {
-                behind.insert(incoming, id);
+                upstream_ids.insert(incoming, id);
             }
             lists.entry(upstream.service.as_str()).or_default().push(DiscoveryEntry {
                 instance: upstream.id.clone(),
@@ -271,71 +289,84 @@
                 zone: record.zone.clone(),
                 kind: String::new(),
                 cell: 0,
-                state: if leaves { ServerState::Draining } else { ServerState::Ready },
+                state: if draining { ServerState::Draining } else { ServerState::Ready },
                 weight: 1.0,
-                started: upstream.cold_until_micros.map(|until| until.saturating_sub(WARM_AFTER)),
+                started: upstream.cold_until_micros.map(|until| until.saturating_sub(WARM_AFTER_MICROS)),
             });
         }
-        for ((line, _), service) in &self.by_group {
-            let list = lists.get(line.as_str()).cloned().unwrap_or_default();
-            service.engine.transport().behind.borrow_mut().clone_from(&behind);
-            if *service.listed.borrow() != list || !service.engine.has_list() {
-                service.listed.borrow_mut().clone_from(&list);
+        for ((service_name, _), service) in &self.by_group {
+            let list = lists.get(service_name.as_str()).cloned().unwrap_or_default();
+            service.engine.transport().upstream_ids.borrow_mut().clone_from(&upstream_ids);
+            if *service.upstreams.borrow() != list || !service.engine.has_list() {
+                service.upstreams.borrow_mut().clone_from(&list);
                 service.engine.update_list(ListKind::Complete, list);
             }
         }
     }
 
-    /// Whether attempts are cut short whose upstreams may be at work. Not while this balancer is to finish what it has: after
-    /// it was told to stop, and for as long after its start as clients may still count on its former life.
-    pub fn set_cutting(&mut self, cuts: bool) {
-        self.keeps = !cuts;
-        self.by_group.values().for_each(|service| service.engine.set_cancellation(cuts));
+    /// Sets whether attempts may be cancelled while their upstreams may be processing them. Must be disabled while this
+    /// balancer has to finish its requests: after it is told to stop, and after its start as long as clients may still rely
+    /// on the previous process.
+    pub fn set_cancellation(&mut self, enabled: bool) {
+        self.cancellation_disabled = !enabled;
+        self.by_group.values().for_each(|service| service.engine.set_cancellation(enabled));
     }
 
-    /// Each has an upstream.
-    pub fn listed(&self) -> bool {
+    /// Whether any service has an upstream.
+    pub fn any_upstream(&self) -> bool {
         self.by_group.values().any(|s| s.engine.ready_upstreams() > 0)
     }
 }
 
-fn settings(ground: &Ground, zones: &mut NameTable, classes: Vec<fs::Class>, tries: u32) -> fs::Settings {
+/// Engine settings for a service with these classes. Registers the names of zones in `zones`.
+fn settings(
+    context: &ServiceContext,
+    zones: &mut NameTable,
+    classes: Vec<fs::Class>,
+    tries: u32,
+) -> fs::Settings {
     let base = fs::Settings::new(classes);
     fs::Settings {
-        // What the others send is known where it arrives: the gate there admits, and a window that divides an upstream
-        // among balancers beforehand would only hold back what it has room for.
+        // The balancer beside an upstream sees the requests of all other balancers and controls their admission. A window
+        // that divides an upstream among balancers beforehand would only delay requests that it has room for.
         balancer_index: 0,
         balancers: 1,
-        zone: zones.id_of(&ground.zone),
-        zones: ground.zones.max(1),
+        zone: zones.id_of(&context.zone),
+        zones: context.zones.max(1),
         limits: fs::Limits {
             cancel: true,
             retry_after: true,
-            // What a gate turns away has not been sent to its upstream.
-            max_attempts: tries.max(1) + GATES,
+            // A request that is rejected by admission control has not been sent to the upstream.
+            max_attempts: tries.max(1) + EXTRA_ATTEMPTS,
             max_retry_after: 1_000_000,
-            connect_timeout: CONNECT,
-            idle_close: IDLE,
+            connect_timeout: CONNECT_TIMEOUT_MICROS,
+            idle_close: IDLE_CLOSE_MICROS,
             ..base.limits
         },
-        rules: fs::Rules { initial_capacity_share: COLD_FROM, warm_up_time: WARM_AFTER, ..base.rules },
+        rules: fs::Rules {
+            initial_capacity_share: COLD_CAPACITY_SHARE,
+            warm_up_time: WARM_AFTER_MICROS,
+            ..base.rules
+        },
         goal: fs::Goal { overall: 0.5, worst_window: 0.3, worst_class: 0.2, ..base.goal },
         ..base
     }
 }
 
+/// Starts the engine of a service and its background tasks.
 fn start(
     name: &str,
     settings: fs::Settings,
     zones: &NameTable,
-    ground: &Ground,
+    context: &ServiceContext,
     slots: Vec<ClassSlot>,
 ) -> Result<Service> {
-    let upstreams = Upstreams::new(&settings.limits, ground.connections.clone(), dialect());
+    let upstreams = Upstreams::new(&settings.limits, context.connections.clone(), dialect());
     let tend = upstreams.tend();
-    let rails = Rails { upstreams, clock: ground.clock.clone(), behind: RefCell::default() };
+    let transport =
+        MeshTransport { upstreams, clock: context.clock.clone(), upstream_ids: RefCell::default() };
     let engine =
-        Engine::new(settings, zones, fastrand::u64(..), rails).map_err(|e| anyhow!("{name}: {e}"))?;
+        Engine::new(settings, zones, fastrand::u64(..), transport).map_err(|e| anyhow!("{name}: {e}"))?;
     let tasks = vec![spawn_local(tend).abort_handle(), spawn_local(engine.clone().run()).abort_handle()];
     engine.refuse_unsent();
     engine.cancel_on_disconnect();
@@ -345,7 +376,7 @@
         engine,
         admitted: Rc::default(),
         slots: RefCell::new(slots),
-        listed: RefCell::default(),
+        upstreams: RefCell::default(),
         tasks,
     })
 }
--- a/mesh/data-plane/src/shaped_body.rs
+++ b/mesh/data-plane/src/shaped_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer as it leaves for another balancer, by turns on the link where it is long.
+//! Response body for another balancer. A long body waits for its turns on the outgoing link.
 
 use std::io;
 use std::pin::Pin;
@@ -9,37 +9,38 @@
 use hyper::body::{Body, Frame, SizeHint};
 use sloeline_http::payload::Payload;
 
-use crate::link_shaper::{CHUNK, Expected, LinkShaper};
+use crate::link_shaper::{CHUNK_BYTES, ExpectedResponse, LinkShaper};
 
-/// Bytes beyond which an answer is long.
-pub const LONG: u64 = CHUNK as u64;
+/// A response whose body is larger than this is long and waits for turns on the link.
+pub const LONG_RESPONSE_BYTES: u64 = CHUNK_BYTES as u64;
 
-/// A body on its way out.
+/// A response body that is sent at the rate of the link if it is long.
 pub struct ShapedBody {
     inner: Payload,
-    /// What the inner body has given and is not sent yet.
+    /// Data read from the inner body and not sent yet.
     pending: Bytes,
     link: Rc<LinkShaper>,
-    /// A long answer's place on the link.
-    place: Option<u64>,
-    expected: Option<Expected>,
+    /// Position of a long response in the order of the link; `None` for a short response.
+    position: Option<u64>,
+    /// The part of a long response of known length that is not sent yet.
+    expected: Option<ExpectedResponse>,
 }
 
 impl ShapedBody {
-    /// Sends this body over the link.
+    /// Wraps a body so that it is sent over the link.
     pub fn new(inner: Payload, link: Rc<LinkShaper>) -> ShapedBody {
         let length = inner.size_hint().exact();
-        let long = length.is_none_or(|length| length > LONG);
-        let place = long.then(|| link.begin());
-        let expected = length.filter(|_| long).map(|length| link.expect(length));
-        ShapedBody { inner, pending: Bytes::new(), link, place, expected }
+        let long = length.is_none_or(|length| length > LONG_RESPONSE_BYTES);
+        let position = long.then(|| link.next_position());
+        let expected = length.filter(|_| long).map(|length| link.expect_response(length));
+        ShapedBody { inner, pending: Bytes::new(), link, position, expected }
     }
 }
 
 impl Drop for ShapedBody {
     fn drop(&mut self) {
-        if let Some(place) = self.place {
-            self.link.leave(place);
+        if let Some(position) = self.position {
+            self.link.remove(position);
         }
     }
 }
@@ -62,13 +63,13 @@
                 end => return Poll::Ready(end),
             }
         }
-        let bytes = this.pending.len().min(if this.place.is_some() { CHUNK } else { usize::MAX });
-        match this.place {
-            Some(place) => ready!(this.link.poll_turn(place, bytes, cx)),
-            None => this.link.sent(bytes),
+        let bytes = this.pending.len().min(if this.position.is_some() { CHUNK_BYTES } else { usize::MAX });
+        match this.position {
+            Some(position) => ready!(this.link.poll_turn(position, bytes, cx)),
+            None => this.link.record_sent(bytes),
         }
         if let Some(expected) = &mut this.expected {
-            expected.sent(bytes);
+            expected.record_sent(bytes);
         }
         Poll::Ready(Some(Ok(Frame::data(this.pending.split_to(bytes)))))
     }
@@ -78,11 +79,11 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        let here = self.pending.len() as u64;
+        let pending = self.pending.len() as u64;
         let rest = self.inner.size_hint();
         let mut hint = SizeHint::new();
-        hint.set_lower(rest.lower().saturating_add(here));
-        if let Some(upper) = rest.upper().and_then(|upper| upper.checked_add(here)) {
+        hint.set_lower(rest.lower().saturating_add(pending));
+        if let Some(upper) = rest.upper().and_then(|upper| upper.checked_add(pending)) {
             hint.set_upper(upper);
         }
         hint
--- /dev/null
+++ b/mesh/data-plane/tests/heartbeats.rs
@@ -0,0 +1,82 @@
+//! Feeds recorded heartbeats of upstreams to the tracker of a balancer.
+
+use sloeline_data_plane::heartbeats::{Heartbeat, UpstreamTracker};
+use sloeline_discovery::Condition;
+
+/// A heartbeat with a condition, a sequence number and a remaining warm-up time.
+fn heartbeat(condition: &str, sequence: u64, cold: &str) -> Heartbeat {
+    let body = format!(
+        r#"{{"address":"10.128.0.9:8080","notice":{{"line":"one","edition":"v1","zone_name":"a","berths":6}},
+        "tracking":{{"condition":"{condition}","sequence":{sequence},"cold_left":"{cold}"}},"later":1}}"#
+    );
+    Heartbeat::parse(body.as_bytes()).expect("a valid heartbeat")
+}
+
+/// The condition of the upstream as the tracker knows it.
+fn condition(tracker: &UpstreamTracker) -> Option<Condition> {
+    tracker.upstream().map(|u| u.condition)
+}
+
+#[test]
+fn an_upstream_goes_from_accepting_to_closing_to_down_and_never_back() {
+    let mut tracker = UpstreamTracker::default();
+    assert!(tracker.record_heartbeat(1_000, "i-1", &heartbeat("accepting", 1, "3s")));
+    assert_eq!(tracker.upstream().and_then(|u| u.cold_until_micros), Some(3_001_000));
+    // A repeated heartbeat changes nothing, although the remaining warm-up time is shorter.
+    assert!(!tracker.record_heartbeat(2_000, "i-1", &heartbeat("accepting", 2, "2s")));
+    assert!(tracker.record_heartbeat(3_000, "i-1", &heartbeat("closing", 4, "0ms")));
+    // A heartbeat that arrives late, and one that contradicts the closing state.
+    assert!(!tracker.record_heartbeat(4_000, "i-1", &heartbeat("accepting", 3, "0ms")));
+    assert!(!tracker.record_heartbeat(5_000, "i-1", &heartbeat("accepting", 5, "0ms")));
+    assert_eq!(condition(&tracker), Some(Condition::Closing));
+    assert!(tracker.record_leave("i-1"));
+    assert!(!tracker.record_heartbeat(6_000, "i-1", &heartbeat("accepting", 6, "0ms")));
+    assert_eq!(condition(&tracker), Some(Condition::Down));
+}
+
+#[test]
+fn a_new_instance_replaces_the_old_one_whose_late_messages_are_ignored() {
+    let mut tracker = UpstreamTracker::default();
+    tracker.record_heartbeat(0, "i-1", &heartbeat("accepting", 9, "0ms"));
+    assert!(tracker.record_heartbeat(0, "i-2", &heartbeat("accepting", 1, "0ms")));
+    assert!(!tracker.record_heartbeat(0, "i-1", &heartbeat("closing", 10, "0ms")));
+    assert!(!tracker.record_leave("i-1"));
+    assert_eq!(tracker.upstream().map(|u| u.id.as_str()), Some("i-2"));
+}
+
+#[test]
+fn an_unreachable_upstream_is_available_after_its_next_heartbeat() {
+    let mut tracker = UpstreamTracker::default();
+    tracker.record_heartbeat(0, "i-1", &heartbeat("accepting", 1, "0ms"));
+    assert!(tracker.mark_unreachable("i-1") && !tracker.mark_unreachable("i-1"));
+    assert_eq!(condition(&tracker), Some(Condition::Down));
+    assert!(tracker.record_heartbeat(0, "i-1", &heartbeat("accepting", 2, "0ms")));
+    assert_eq!(condition(&tracker), Some(Condition::Accepting));
+}
+
+#[test]
+fn invalid_heartbeats_are_rejected_with_a_reason() {
+    for (body, expected) in [
+        ("", "heartbeat"),
+        ("{}", "address"),
+        (
+            r#"{"address":"x","notice":{"line":"a","berths":1},"tracking":{"condition":"accepting","sequence":1}}"#,
+            "address",
+        ),
+        (
+            r#"{"address":"1.2.3.4:5","notice":{"line":"a","berths":0},"tracking":{"condition":"accepting","sequence":1}}"#,
+            "berths",
+        ),
+        (
+            r#"{"address":"1.2.3.4:5","notice":{"line":"","berths":1},"tracking":{"condition":"accepting","sequence":1}}"#,
+            "line",
+        ),
+        (
+            r#"{"address":"1.2.3.4:5","notice":{"line":"a","berths":1},"tracking":{"condition":"tired","sequence":1}}"#,
+            "tired",
+        ),
+    ] {
+        let error = format!("{:#}", Heartbeat::parse(body.as_bytes()).expect_err(body));
+        assert!(error.contains(expected), "{body}: {error}");
+    }
+}
--- a/mesh/data-plane/tests/keys.rs
+++ b/mesh/data-plane/tests/keys.rs
@@ -1,5 +1,5 @@
-//! Calls about keyed operations while the core does not answer: they stay few, end in time, and are made good afterwards. Time
-//! is paused: it moves on whenever nothing else is left to do.
+//! Calls about operation keys while the core does not answer: there are few of them, they end in time, and uncertain claims
+//! are released afterwards. Time is paused and advances whenever all tasks wait.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use sloeline_data_plane::keys::Keys;
+use sloeline_data_plane::keys::KeyClient;
 use sloeline_idempotency::{ClaimOutcome, ClaimUpdate};
 use sloeline_rpc::serve::serve;
 use sloeline_rpc::{RpcRequest, RpcResponse};
@@ -15,7 +15,8 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{sleep, timeout};
 
-fn play(test: impl AsyncFnOnce()) {
+/// Runs a test on a single-threaded runtime with paused time.
+fn run_paused(test: impl AsyncFnOnce()) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
@@ -24,84 +25,92 @@
     LocalSet::new().block_on(&runtime, test());
 }
 
-/// How the stand-in machines answer.
+/// How the simulated core machines answer.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Manner {
-    Grants,
-    Refuses,
-    Silent,
+enum Behavior {
+    /// Grants every claim and release.
+    Grant,
+    /// Answers that the core is unavailable.
+    Refuse,
+    /// Never answers.
+    NoAnswer,
 }
 
-/// Core machines that count what they are asked.
+/// Simulated core machines that count the calls they receive.
 struct Core {
-    manner: Cell<Manner>,
+    behavior: Cell<Behavior>,
+    /// Number of calls received.
     calls: Cell<u64>,
+    /// Keys whose claims were released.
     released: RefCell<Vec<Bytes>>,
 }
 
 impl Core {
-    fn new(manner: Manner) -> Rc<Core> {
-        Rc::new(Core { manner: Cell::new(manner), calls: Cell::new(0), released: RefCell::default() })
+    fn new(behavior: Behavior) -> Rc<Core> {
+        Rc::new(Core { behavior: Cell::new(behavior), calls: Cell::new(0), released: RefCell::default() })
     }
 
-    async fn machine(self: &Rc<Self>) -> SocketAddr {
+    /// Starts one more machine; returns its address.
+    async fn start_machine(self: &Rc<Self>) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
         let address = listener.local_addr().expect("its address");
         let core = self.clone();
-        spawn_local(serve(listener, move |ask| core.clone().answer(ask)));
+        spawn_local(serve(listener, move |request| core.clone().answer(request)));
         address
     }
 
-    async fn answer(self: Rc<Self>, ask: RpcRequest) -> Option<RpcResponse> {
+    /// Counts a call and answers it according to the present behavior.
+    async fn answer(self: Rc<Self>, request: RpcRequest) -> Option<RpcResponse> {
         self.calls.set(self.calls.get() + 1);
-        match (self.manner.get(), ask) {
-            (Manner::Grants, RpcRequest::Operation(ClaimUpdate::Release { key, .. })) => {
+        match (self.behavior.get(), request) {
+            (Behavior::Grant, RpcRequest::Operation(ClaimUpdate::Release { key, .. })) => {
                 self.released.borrow_mut().push(key);
                 Some(RpcResponse::Operation(ClaimOutcome::Granted))
             }
-            (Manner::Grants, _) => Some(RpcResponse::Operation(ClaimOutcome::Granted)),
-            (Manner::Refuses, _) => Some(RpcResponse::Unavailable("out of contact".to_owned())),
-            (Manner::Silent, _) => std::future::pending().await,
+            (Behavior::Grant, _) => Some(RpcResponse::Operation(ClaimOutcome::Granted)),
+            (Behavior::Refuse, _) => Some(RpcResponse::Unavailable("out of contact".to_owned())),
+            (Behavior::NoAnswer, _) => std::future::pending().await,
         }
     }
 }
 
-/// A balancer's way to a core of three machines that behave so.
-async fn keys_of(core: &Rc<Core>) -> Rc<Keys> {
-    let keys = Keys::new("m-1".to_owned());
+/// The key client of a balancer, connected to three machines of this core.
+async fn connect(core: &Rc<Core>) -> Rc<KeyClient> {
+    let keys = KeyClient::new("m-1".to_owned());
     let mut machines = Vec::new();
     for _ in 0..3 {
-        machines.push(core.machine().await);
+        machines.push(core.start_machine().await);
     }
-    keys.set_core(&machines);
+    keys.set_core_machines(&machines);
     keys
 }
 
-/// Keyed requests that come while the core is so, forty a second for five seconds; all end in time.
-async fn requests(keys: &Rc<Keys>) {
+/// Claims keys for 200 requests, one every 25 ms for five seconds, and checks that every claim ends in time.
+async fn claim_keys(keys: &Rc<KeyClient>) {
     for number in 0_u64..200 {
         let keys = keys.clone();
         spawn_local(async move {
             let key = Bytes::from(format!("k-{number}"));
             let claim = keys.claim(&key, number + 1, Duration::from_secs(1));
-            assert!(timeout(Duration::from_millis(1500), claim).await.is_ok(), "a claim hangs");
+            assert!(timeout(Duration::from_millis(1500), claim).await.is_ok(), "a claim takes too long");
         });
         sleep(Duration::from_millis(25)).await;
     }
 }
 
-/// Calls a second that a balancer makes while no core machine can answer, at the most.
-const MOST_CALLS_A_SECOND: u64 = 20;
+/// Maximum rate of calls by a balancer while no core machine answers.
+const MAX_CALLS_PER_SECOND: u64 = 20;
 
-async fn calls_stay_few(manner: Manner) {
-    let core = Core::new(manner);
-    let keys = keys_of(&core).await;
-    requests(&keys).await;
+/// Checks the number of calls while the core behaves like this, and that all claims are released afterwards.
+async fn check_call_rate(behavior: Behavior) {
+    let core = Core::new(behavior);
+    let keys = connect(&core).await;
+    claim_keys(&keys).await;
     sleep(Duration::from_secs(15)).await;
     let calls = core.calls.get();
-    assert!(calls < 20 * MOST_CALLS_A_SECOND, "{calls} calls in 20 s");
-    // Every claim whose fate is unknown is taken back once the core is there again.
-    core.manner.set(Manner::Grants);
+    assert!(calls < 20 * MAX_CALLS_PER_SECOND, "{calls} calls in 20 s");
+    // Every claim with an unknown outcome is released once the core answers again.
+    core.behavior.set(Behavior::Grant);
     sleep(Duration::from_secs(20)).await;
     let mut released = core.released.borrow().clone();
     released.sort();
@@ -110,20 +119,20 @@
 }
 
 #[test]
-fn calls_about_keys_stay_few_while_core_machines_refuse() {
-    play(async || calls_stay_few(Manner::Refuses).await);
+fn the_call_rate_is_limited_while_core_machines_refuse() {
+    run_paused(async || check_call_rate(Behavior::Refuse).await);
 }
 
 #[test]
-fn calls_about_keys_stay_few_while_core_machines_are_silent() {
-    play(async || calls_stay_few(Manner::Silent).await);
+fn the_call_rate_is_limited_while_core_machines_do_not_answer() {
+    run_paused(async || check_call_rate(Behavior::NoAnswer).await);
 }
 
 #[test]
-fn a_claim_is_granted_as_soon_as_the_core_answers_again() {
-    play(async || {
-        let core = Core::new(Manner::Refuses);
-        let keys = keys_of(&core).await;
+fn waiting_claims_are_granted_once_the_core_answers_again() {
+    run_paused(async || {
+        let core = Core::new(Behavior::Refuse);
+        let keys = connect(&core).await;
         let waiting: Vec<_> = (0_u64..50)
             .map(|number| {
                 let keys = keys.clone();
@@ -132,9 +141,9 @@
             })
             .collect();
         sleep(Duration::from_millis(600)).await;
-        core.manner.set(Manner::Grants);
+        core.behavior.set(Behavior::Grant);
         for claim in waiting {
-            assert_eq!(claim.await.expect("it ends").expect("granted"), ClaimOutcome::Granted);
+            assert_eq!(claim.await.expect("the claim ends").expect("granted"), ClaimOutcome::Granted);
         }
     });
 }
