--- a/mesh/data-plane/src/admission.rs
+++ b/mesh/data-plane/src/admission.rs
@@ -105,10 +105,15 @@
 /// Decides which requests go to this machine's upstream, in which order, and which are rejected.
 #[derive(Debug)]
 pub struct AdmissionQueue {
+    /// State of the upstream.
     state: State,
+    /// Number of requests that the upstream processes concurrently.
     slots: usize,
+    /// Number of requests at the upstream.
     in_flight: usize,
+    /// Number of the next request that is queued.
     next_number: u64,
+    /// Queued requests in the order of admission.
     queue: BTreeMap<QueuePosition, QueuedRequest>,
     /// Request kinds with their mean processing times at the upstream, in microseconds.
     kinds: Vec<(u64, f64)>,
@@ -190,6 +195,7 @@
         self.mean(kind) > SHORT_KIND_RATIO * self.longest_mean()
     }
 
+    /// Whether the upstream has a free slot.
     fn has_free_slot(&self) -> bool {
         self.in_flight < self.slots
     }
@@ -315,7 +321,7 @@
         position.and_then(|position| self.queue.remove(&position));
     }
 
-    /// When the first of the queued requests expires.
+    /// When the first of the queued requests expires; `None` while the queue is empty.
     pub fn next_expiry(&self) -> Option<Micros> {
         self.queue.values().map(|r| r.expires_at).min()
     }
--- a/mesh/data-plane/src/core_client.rs
+++ b/mesh/data-plane/src/core_client.rs
@@ -23,6 +23,7 @@
 
 /// The failure of a call because no machine answered.
 struct CallFailure {
+    /// The error of the machine asked last.
     error: anyhow::Error,
     /// Whether a machine refused, disconnected, or did not answer within [`MACHINE_TIMEOUT`]. A call that ended earlier
     /// says nothing about the core.
--- a/mesh/data-plane/src/front.rs
+++ b/mesh/data-plane/src/front.rs
@@ -1,5 +1,5 @@
 //! Requests from this machine's clients and its upstream: selects the route and the service, and prepares the headers for the
-//! balancer beside the upstream.
+//! upstream's local balancer.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -45,7 +45,9 @@
     sender: HeaderValue,
     /// Limits the memory for request bodies.
     bodies: Rc<Share>,
+    /// The clock that deadlines and latency targets refer to.
     clock: Rc<Clock>,
+    /// Whether this balancer reports itself as ready for requests.
     ready: Cell<bool>,
     /// Estimates how long ago the first try of a request began, by request kind.
     request_ages: RefCell<RequestAgeEstimators>,
--- a/mesh/data-plane/src/keys.rs
+++ b/mesh/data-plane/src/keys.rs
@@ -33,12 +33,15 @@
 
 /// A pending background release of a claim.
 struct PendingRelease {
+    /// The release to send to the core.
     update: ClaimUpdate,
+    /// When the release is abandoned; the claim then ends with its window.
     deadline: Instant,
 }
 
 /// Claims and releases operation keys at the core, and exchanges stored responses with other balancers.
 pub struct KeyClient {
+    /// Sends claims and releases to the core machines.
     core: CoreClient,
     /// Claims to release in the background, oldest first.
     pending_releases: RefCell<VecDeque<PendingRelease>>,
--- a/mesh/data-plane/src/lib.rs
+++ b/mesh/data-plane/src/lib.rs
@@ -1,7 +1,7 @@
-//! The data plane: the balancer beside each application instance. Requests from this machine leave through [`front`] and
-//! [`services`], which use the load-balancing engine. Requests for this machine's upstream arrive through [`receive`], which
-//! forwards those that [`admission`] admits; [`link_shaper`] limits the rate of long responses. [`heartbeats`],
-//! [`admission`] and [`request_age`] are without I/O.
+//! The data plane: the local balancer (sidecar) of each application instance. Requests from this machine leave through
+//! [`front`] and [`services`], which use the load-balancing engine. Requests for this machine's upstream arrive through
+//! [`receive`], which forwards those that [`admission`] admits; [`link_shaper`] limits the rate of long responses.
+//! [`heartbeats`], [`admission`] and [`request_age`] are without I/O.
 
 pub mod admission;
 pub mod core_client;
--- a/mesh/data-plane/src/link_shaper.rs
+++ b/mesh/data-plane/src/link_shaper.rs
@@ -27,6 +27,7 @@
 /// Computes when the link is free, and how long the pending long responses take, without I/O.
 #[derive(Debug)]
 pub struct Schedule {
+    /// Rate for responses to other balancers.
     bytes_per_second: f64,
     /// When the link has transmitted everything that was sent.
     free_at: Micros,
@@ -80,6 +81,7 @@
 /// Controls when the responses of this process are sent on the outgoing link.
 #[derive(Debug)]
 pub struct LinkShaper {
+    /// When the link is free, and the backlog of long responses.
     schedule: RefCell<Schedule>,
     /// Wakers of the long responses that have bytes to send, by position, in the order in which the responses began.
     waiting: RefCell<BTreeMap<u64, Waker>>,
@@ -87,6 +89,7 @@
     last_position: RefCell<u64>,
     /// Wakes [`LinkShaper::run`] after a change of the waiting responses.
     waiting_changed: Notify,
+    /// Zero of the times in the schedule.
     start: Instant,
 }
 
@@ -183,6 +186,7 @@
 #[derive(Debug)]
 pub struct ExpectedResponse {
     link: Rc<LinkShaper>,
+    /// Bytes of the response that are not sent yet.
     bytes: u64,
 }
 
--- a/mesh/data-plane/src/main.rs
+++ b/mesh/data-plane/src/main.rs
@@ -5,7 +5,7 @@
 use sloeline_admin_http::program::Program;
 
 fn main() -> ExitCode {
-    let about = "Data plane of a sloeline mesh: the balancer beside an application instance";
+    let about = "Data plane of a sloeline mesh: the local balancer of an application instance";
     Program {
         name: "sloeline-data-plane",
         about,
--- a/mesh/data-plane/src/program.rs
+++ b/mesh/data-plane/src/program.rs
@@ -55,7 +55,7 @@
 const STORED_RESPONSE_MEMORY_SHARE: f64 = 0.15;
 /// How much longer than the key window stored responses are kept.
 const LEDGER_EXTRA_MS: u64 = 10_000;
-/// How long clients still send requests after the process is told to stop: they check readiness once per second and leave
+/// How long clients still send requests after the process receives SIGTERM: they check readiness once per second and leave
 /// after two failed checks.
 const CLIENT_LEAVE_TIME: Duration = Duration::from_millis(2600);
 /// Time between the last response and the end of the grace period, when the process is killed.
@@ -69,7 +69,7 @@
 /// Maximum size of a heartbeat message.
 const MAX_HEARTBEAT_BYTES: usize = 64 << 10;
 
-/// Runs a balancer with the settings file at this path until the process is told to stop.
+/// Runs a balancer with the settings file at this path until the process receives SIGTERM.
 pub fn run(path: &Path) -> Result<()> {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().context("start the runtime")?;
@@ -101,7 +101,7 @@
     }
 }
 
-/// Runs a balancer with these settings, which may change while it runs, until the process is told to stop.
+/// Runs a balancer with these settings, which may change while it runs, until the process receives SIGTERM.
 pub async fn run_with_settings(watched: SettingsWatch) -> Result<()> {
     let settings = Settings::clone(&watched.borrow());
     let guarantees = settings.guarantees()?;
--- a/mesh/data-plane/src/pull_sources.rs
+++ b/mesh/data-plane/src/pull_sources.rs
@@ -28,13 +28,17 @@
 
 /// The processes that this balancer pulls updates from.
 pub struct PullSources {
+    /// The process settings, which name the seed nodes.
     settings: SettingsWatch,
+    /// Records of the mesh; runs the pulls and checks.
     exchange: Rc<Exchange>,
+    /// Gets the addresses of the core machines.
     keys: Rc<KeyClient>,
     /// The processes that are pulled from or checked now, by address.
     sources: RefCell<HashMap<SocketAddr, PeerSync>>,
     /// Whether any process has answered since the start.
     reached: Cell<bool>,
+    /// When the process started.
     started: Instant,
 }
 
--- a/mesh/data-plane/src/receive.rs
+++ b/mesh/data-plane/src/receive.rs
@@ -79,6 +79,7 @@
     link: Rc<LinkShaper>,
     /// Learned response lengths, to estimate the load on the link.
     response_lengths: RefCell<ResponseLengths>,
+    /// Zero of this receiver's points in time.
     start: Instant,
     /// Wakes the task that admits and expires queued requests.
     admission_changed: Notify,
@@ -86,7 +87,9 @@
 
 /// Permission for one request at the upstream. Dropping it frees the slot.
 struct Permit {
+    /// The receiver that issued the permit.
     receiver: Rc<Receiver>,
+    /// Kind of the request, for its processing time.
     kind: u64,
     /// When the request was admitted.
     since: Micros,
@@ -118,7 +121,9 @@
 
 /// A queued request. Dropping it removes the request from the queue if it has been neither admitted nor expired.
 struct QueueGuard<'a> {
+    /// The receiver that queued the request.
     receiver: &'a Receiver,
+    /// Number of the request in the admission queue.
     number: u64,
 }
 
@@ -137,13 +142,17 @@
 
 /// A request to forward to the upstream.
 struct ForwardRequest {
+    /// The request to send to the upstream.
     call: Call,
+    /// Identifier of the client's try, which the response must repeat.
     try_id: Option<HeaderValue>,
+    /// Address of the upstream.
     target: Target,
     /// When the request arrived at this balancer.
     arrived_at: Micros,
     /// When the client stops waiting for the response.
     deadline: Micros,
+    /// What admission control needs to know about the request.
     arrival: Arrival,
     /// Identifier of the upstream that the request is for.
     upstream: String,
--- a/mesh/data-plane/src/request_age.rs
+++ b/mesh/data-plane/src/request_age.rs
@@ -83,6 +83,7 @@
 /// A [`RequestAgeEstimator`] for each kind of request.
 #[derive(Debug, Default)]
 pub struct RequestAgeEstimators {
+    /// Estimators by request kind.
     by_kind: HashMap<HeaderValue, RequestAgeEstimator>,
 }
 
--- a/mesh/data-plane/src/responses.rs
+++ b/mesh/data-plane/src/responses.rs
@@ -1,4 +1,4 @@
-//! Responses of the balancer beside an upstream: its own, those of the upstream, and those stored for repeats.
+//! Responses of an upstream's local balancer: its own, those of the upstream, and those stored for repeats.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
--- a/mesh/data-plane/src/services.rs
+++ b/mesh/data-plane/src/services.rs
@@ -46,9 +46,11 @@
 /// Time after which a started upstream counts as warm.
 const WARM_AFTER_MICROS: Micros = 3_000_000;
 
-/// Sends requests to upstreams through the balancers beside them.
+/// Sends requests to upstreams through their local balancers.
 pub struct MeshTransport {
+    /// Connections to other balancers.
     upstreams: Upstreams,
+    /// The clock that deadlines and latency targets refer to.
     clock: Rc<Clock>,
     /// Identifier of the upstream behind each balancer, by the balancer's address.
     upstream_ids: RefCell<HashMap<SocketAddr, HeaderValue>>,
@@ -65,7 +67,7 @@
             headers.insert(header_names::ADDRESSEE, id.clone());
         }
         // Points in time are sent as remaining milliseconds, because the receiver has another clock. The upstream gets all of
-        // the client's remaining time, and this side ends the attempt: a balancer that is told to stop can then still let
+        // the client's remaining time, and this side ends the attempt: a balancer that is shutting down can then still let
         // the upstream use the rest.
         for name in [header_names::AIM, header_names::TIME_LEFT, header_names::HOLD] {
             let at = headers.get(&name).and_then(|v| v.to_str().ok()).and_then(number);
@@ -90,7 +92,7 @@
         out.abort()
     }
 
-    // Upstreams are not probed: the balancer beside an upstream publishes its condition.
+    // Upstreams are not probed: the local balancer of an upstream publishes its condition.
     fn probe(&self, _engine: &Rc<Engine<Self>>, _to: Target) {}
 
     fn close_idle(&self, server: ServerId) {
@@ -128,7 +130,7 @@
 fn slot(route: &Route) -> ClassSlot {
     let effect = match route.route_kind {
         RouteKind::Safe | RouteKind::Download => Effect::Safe,
-        // Tracked routes as well: the balancer beside the upstream checks the operation key, but a repeated attempt uses up
+        // Tracked routes as well: the local balancer of the upstream checks the operation key, but a repeated attempt uses up
         // retry budget.
         RouteKind::Unsafe | RouteKind::Tracked => Effect::Unsafe,
     };
@@ -305,7 +307,7 @@
     }
 
     /// Sets whether attempts may be cancelled while their upstreams may be processing them. Must be disabled while this
-    /// balancer has to finish its requests: after it is told to stop, and after its start as long as clients may still rely
+    /// balancer has to finish its requests: after shutdown has begun, and after its start as long as clients may still rely
     /// on the previous process.
     pub fn set_cancellation(&mut self, enabled: bool) {
         self.cancellation_disabled = !enabled;
@@ -327,7 +329,7 @@
 ) -> fs::Settings {
     let base = fs::Settings::new(classes);
     fs::Settings {
-        // The balancer beside an upstream sees the requests of all other balancers and controls their admission. A window
+        // The local balancer of an upstream sees the requests of all other balancers and controls their admission. A window
         // that divides an upstream among balancers beforehand would only delay requests that it has room for.
         balancer_index: 0,
         balancers: 1,
--- a/mesh/data-plane/src/shaped_body.rs
+++ b/mesh/data-plane/src/shaped_body.rs
@@ -16,9 +16,11 @@
 
 /// A response body that is sent at the rate of the link if it is long.
 pub struct ShapedBody {
+    /// The body to send.
     inner: Payload,
     /// Data read from the inner body and not sent yet.
     pending: Bytes,
+    /// The outgoing link.
     link: Rc<LinkShaper>,
     /// Position of a long response in the order of the link; `None` for a short response.
     position: Option<u64>,
--- a/mesh/data-plane/tests/admission.rs
+++ b/mesh/data-plane/tests/admission.rs
@@ -133,8 +133,8 @@
     assert_eq!(numbers.len(), 2);
 }
 
-/// The wait for the link is added to the processing time. If the backlog were assumed to shrink during processing, the link
-/// would get more than it carries.
+/// The wait for the link is deliberately added to the processing time. If the backlog were assumed to shrink during
+/// processing, the link would get more than it carries.
 #[test]
 fn a_request_with_a_long_response_is_only_admitted_if_the_link_can_carry_it_in_time() {
     let long = |link_wait: u64, time_to_target: u64| Arrival {
@@ -224,10 +224,15 @@
 /// One event in the life of an admission queue.
 #[derive(Clone, Debug)]
 enum Step {
+    /// A request arrives; the times are in milliseconds.
     Arrive { kind: u64, time_to_target: u64, time_left: u64 },
+    /// An admitted request ends after this time in milliseconds.
     Complete { took: u64 },
+    /// Time passes.
     Pass { ms: u64 },
+    /// The sender of a queued request disconnects.
     Cancel { which: usize },
+    /// The upstream reports its state and its number of slots.
     SetUpstream { open: bool, slots: usize },
 }
 
--- a/mesh/data-plane/tests/keys.rs
+++ b/mesh/data-plane/tests/keys.rs
@@ -38,6 +38,7 @@
 
 /// Simulated core machines that count the calls they receive.
 struct Core {
+    /// How all machines answer now.
     behavior: Cell<Behavior>,
     /// Number of calls received.
     calls: Cell<u64>,
@@ -46,6 +47,7 @@
 }
 
 impl Core {
+    /// Creates a core without machines.
     fn new(behavior: Behavior) -> Rc<Core> {
         Rc::new(Core { behavior: Cell::new(behavior), calls: Cell::new(0), released: RefCell::default() })
     }
--- a/mesh/discovery/src/mesh_state.rs
+++ b/mesh/discovery/src/mesh_state.rs
@@ -76,8 +76,11 @@
 /// Everything that a process knows of the mesh. Snapshots that were handed out never change.
 #[derive(Default)]
 pub struct MeshState {
+    /// The newest record of each source.
     records: Rc<BTreeMap<String, Rc<Record>>>,
+    /// The newest configuration.
     config: Option<Rc<Config>>,
+    /// The newest list of core machines.
     core_list: Option<Rc<CoreList>>,
 }
 
--- a/mesh/discovery/src/record.rs
+++ b/mesh/discovery/src/record.rs
@@ -66,9 +66,9 @@
     pub is_core: bool,
     /// Whether the process is shutting down.
     pub leaving: bool,
-    /// Address that accepts requests for the upstream; `None` for a process without an upstream.
+    /// Address that accepts requests for the upstream; `None` if the process accepts none.
     #[serde(rename = "incoming")]
     pub incoming_address: Option<SocketAddr>,
-    /// The upstream beside the process, once it has reported itself.
+    /// The local upstream of the process, once the upstream has reported itself.
     pub upstream: Option<Upstream>,
 }
--- a/mesh/idempotency/src/claims.rs
+++ b/mesh/idempotency/src/claims.rs
@@ -55,9 +55,11 @@
 /// All claims that are younger than the claim window.
 #[derive(Debug, Default)]
 pub struct Claims {
+    /// Claims by operation key.
     claims: HashMap<Bytes, Claim>,
     /// Grant time, run and key of each claim, oldest first. Released claims stay listed until they expire.
     expiry_order: VecDeque<(u64, u64, Bytes)>,
+    /// Age in milliseconds at which a claim expires.
     window_ms: u64,
 }
 
--- a/mesh/idempotency/src/ledger.rs
+++ b/mesh/idempotency/src/ledger.rs
@@ -22,8 +22,11 @@
     entries: HashMap<Bytes, (u64, RunState)>,
     /// Start time, run identifier and operation key of each run, oldest first. Removed runs stay listed until they expire.
     expiry_order: VecDeque<(u64, u64, Bytes)>,
+    /// Age in milliseconds at which an entry expires.
     window_ms: u64,
+    /// Approximate memory use of the stored responses and their keys.
     stored_bytes: usize,
+    /// Upper limit of `stored_bytes`.
     max_bytes: usize,
 }
 
--- a/mesh/idempotency/tests/keys.rs
+++ b/mesh/idempotency/tests/keys.rs
@@ -13,9 +13,13 @@
 /// One update of the claim table, applied after a pause.
 #[derive(Clone, Debug)]
 struct Step {
+    /// Time since the previous update, in milliseconds.
     pause_ms: u64,
+    /// The operation key, one of four.
     key: u8,
+    /// Identifier of the run that claims or releases the key.
     run: u64,
+    /// Whether the key is released instead of claimed.
     release: bool,
 }
 
--- a/mesh/idempotency/tests/races.rs
+++ b/mesh/idempotency/tests/races.rs
@@ -18,14 +18,19 @@
 /// The next step of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
+    /// Claim the key.
     Claim,
+    /// Send the operation, which then runs.
     Send,
+    /// Nothing is left to do.
     Done,
 }
 
 /// One of the two attempts.
 struct Attempt {
+    /// Identifier of the run that the attempt claims the key for.
     run: u64,
+    /// What the attempt does on its next turn.
     step: Step,
     /// How many responses to the claim may still be lost.
     remaining_losses: u32,
