--- a/mesh/discovery/tests/mesh_state.rs
+++ b/mesh/discovery/tests/mesh_state.rs
@@ -91,8 +91,8 @@
     fn candidates_stay_selected_when_another_one_is_removed(names: Vec<u8>, removed: u8) -> bool {
         let names: Vec<String> = names.iter().map(|n| format!("c-{n}")).collect();
         let removed = format!("c-{removed}");
-        let before = top_candidates("chooser", names.iter().map(String::as_str), 3);
-        let after = top_candidates("chooser", names.iter().map(String::as_str).filter(|n| *n != removed), 3);
+        let before = top_candidates("me", names.iter().map(String::as_str), 3);
+        let after = top_candidates("me", names.iter().map(String::as_str).filter(|n| *n != removed), 3);
         let stay = before.iter().filter(|n| **n != removed).all(|n| after.contains(n));
         stay && after.len() <= 3 && !after.contains(&removed.as_str())
     }
@@ -103,7 +103,7 @@
     let names: Vec<String> = (0..40).map(|n| format!("branch-{n}")).collect();
     let mut counts = vec![0; names.len()];
     for chooser in 0..400 {
-        for selected in top_candidates(&format!("chooser-{chooser}"), names.iter().map(String::as_str), 2) {
+        for selected in top_candidates(&format!("asker-{chooser}"), names.iter().map(String::as_str), 2) {
             counts[names.iter().position(|n| n == selected).expect("a candidate")] += 1;
         }
     }
