--- a/limits/src/lib.rs
+++ b/limits/src/lib.rs
@@ -1,8 +1,8 @@
-//! How a limited number of things (descriptors, open requests, bytes) is divided among those who want them.
+//! Divides a limited resource (file descriptors, open requests, bytes of memory) among several users.
 //!
-//! Each share owns a part that nobody else can take, and may borrow from a common reserve. What one share may have
-//! borrowed is at most what the reserve still has free after that, so that one which takes all it can get leaves
-//! half of the reserve, two leave a third, and so on: dynamic thresholds with a factor of one (A. Choudhury, E.
+//! Each share has a guaranteed part that no other share can use, and may borrow from a common reserve. A share may
+//! borrow at most as much as the reserve has free afterwards. A single greedy share therefore leaves half of the reserve
+//! free, two leave a third, and so on. This is the dynamic threshold scheme with a factor of one (A. Choudhury, E.
 //! Hahne, "Dynamic Queue Length Thresholds for Shared-Memory Packet Switches", 1998).
 
 pub mod admission;
@@ -10,89 +10,95 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Part of the whole that goes to the shares as their own; the rest is the common reserve.
-const OWN: f64 = 0.5;
+/// Fraction of the total that is guaranteed to the shares; the rest is the common reserve.
+const GUARANTEED_FRACTION: f64 = 0.5;
 
-/// What is left over for whoever needs more than its own.
+/// The common reserve from which shares borrow beyond their guaranteed part.
 #[derive(Debug, Default)]
 pub struct Reserve {
+    /// Units in the reserve, lent or free.
     size: Cell<usize>,
+    /// Units that shares have borrowed.
     lent: Cell<usize>,
 }
 
 impl Reserve {
-    /// A reserve of this size.
+    /// Creates a reserve of `size` units.
     pub fn new(size: usize) -> Rc<Reserve> {
         Rc::new(Reserve { size: Cell::new(size), lent: Cell::new(0) })
     }
 
-    /// Changes its size; what is lent stays lent.
+    /// Changes the size of the reserve. Units already lent stay lent, even if they exceed the new size.
     pub fn resize(&self, size: usize) {
         self.size.set(size);
     }
 
-    /// What is not lent.
+    /// Units of the reserve that are not lent.
     pub fn free(&self) -> usize {
         self.size.get().saturating_sub(self.lent.get())
     }
 }
 
-/// What one user may take.
+/// The part of a resource that one user may allocate: a guaranteed part, and what it borrows from the reserve.
 #[derive(Debug)]
 pub struct Share {
-    own: Cell<usize>,
+    /// Units that no other share can use.
+    guaranteed: Cell<usize>,
+    /// Units allocated now.
     used: Cell<usize>,
+    /// The reserve that this share borrows from.
     reserve: Rc<Reserve>,
 }
 
 impl Share {
-    /// A share with so much of its own beside a reserve.
-    pub fn new(own: usize, reserve: &Rc<Reserve>) -> Rc<Share> {
-        Rc::new(Share { own: Cell::new(own), used: Cell::new(0), reserve: reserve.clone() })
+    /// Creates a share with `guaranteed` units that may borrow from `reserve`.
+    pub fn new(guaranteed: usize, reserve: &Rc<Reserve>) -> Rc<Share> {
+        Rc::new(Share { guaranteed: Cell::new(guaranteed), used: Cell::new(0), reserve: reserve.clone() })
     }
 
-    /// A share that has nobody beside it.
-    pub fn standalone(own: usize) -> Rc<Share> {
-        Share::new(own, &Reserve::new(0))
+    /// Creates a share without a reserve: a plain limit of `guaranteed` units.
+    pub fn standalone(guaranteed: usize) -> Rc<Share> {
+        Share::new(guaranteed, &Reserve::new(0))
     }
 
-    /// What nobody else can take.
+    /// Units that no other share can use.
     pub fn guaranteed(&self) -> usize {
-        self.own.get()
+        self.guaranteed.get()
     }
 
-    /// What is taken.
+    /// Units allocated now, guaranteed and borrowed.
     pub fn used(&self) -> usize {
         self.used.get()
     }
 
-    /// What it could still take if nobody else took any.
+    /// Units that are unused in the guaranteed part and free in the reserve. The borrowing rule may allow fewer.
     pub fn available(&self) -> usize {
-        self.own.get().saturating_sub(self.used.get()) + self.reserve.free()
+        self.guaranteed.get().saturating_sub(self.used.get()) + self.reserve.free()
     }
 
-    /// What is taken beyond its own.
+    /// Units borrowed from the reserve: what is used beyond the guaranteed part.
     pub fn borrowed(&self) -> usize {
-        self.used.get().saturating_sub(self.own.get())
+        self.used.get().saturating_sub(self.guaranteed.get())
     }
 
-    /// It has borrowed all that it may, and others find too little: what is not needed should be given back. So much
-    /// is on its way back already, though still counted.
-    pub fn should_release(&self, leaving: usize) -> bool {
-        let borrowed = self.borrowed().saturating_sub(leaving);
-        // One more would leave less free than it had borrowed.
-        borrowed > 0 && borrowed + 1 >= self.reserve.free() + leaving
+    /// Whether the share has borrowed as much as it may, so that its user should release idle units to leave room for
+    /// other shares. `releasing` units are being released already but still count as used.
+    pub fn should_release(&self, releasing: usize) -> bool {
+        let borrowed = self.borrowed().saturating_sub(releasing);
+        // Borrowing one more unit would leave less free than this share has borrowed.
+        borrowed > 0 && borrowed + 1 >= self.reserve.free() + releasing
     }
 
-    /// Changes its own part; what is taken stays taken.
-    pub fn resize(&self, own: usize) {
-        self.account(|| self.own.set(own));
+    /// Changes the guaranteed part. Units in use stay in use; those beyond the new part count as borrowed.
+    pub fn resize(&self, guaranteed: usize) {
+        self.account(|| self.guaranteed.set(guaranteed));
     }
 
-    /// Takes so much, given back when what is returned is dropped; nothing where there is too little.
+    /// Allocates `amount` units, which are released when the permit is dropped. Returns `None` if the share may not have
+    /// that many more.
     pub fn acquire(self: &Rc<Self>, amount: usize) -> Option<Permit> {
         let used = self.used.get().checked_add(amount)?;
-        let borrowed = used.saturating_sub(self.own.get());
+        let borrowed = used.saturating_sub(self.guaranteed.get());
         let more = borrowed - self.borrowed();
         if more > 0 && self.reserve.free().checked_sub(more).is_none_or(|free| borrowed > free) {
             return None;
@@ -101,6 +107,7 @@
         Some(Permit { share: self.clone(), amount })
     }
 
+    /// Applies a change to the share and updates the number of units lent by the reserve.
     fn account(&self, change: impl FnOnce()) {
         let before = self.borrowed();
         change();
@@ -114,10 +121,12 @@
     }
 }
 
-/// What was taken of a share.
+/// Units allocated from a share, released on drop.
 #[derive(Debug)]
 pub struct Permit {
+    /// The share that the units belong to.
     share: Rc<Share>,
+    /// Number of units.
     amount: usize,
 }
 
@@ -127,20 +136,20 @@
     }
 }
 
-/// Divides a whole by weights: what each share owns, and the reserve. Each owns `least` at the least; fails with
-/// what would be needed where there is not that much.
-pub fn divide(whole: usize, weights: &[f64], least: usize) -> Result<(Vec<usize>, usize), usize> {
-    let needed = least.saturating_mul(weights.len());
-    if needed > whole {
+/// Divides `total` units by weights. Returns the guaranteed part of each share, at least `min` units each, and the size
+/// of the reserve. If `total` is too small for the minimum parts, the error is the number of units they need.
+pub fn divide(total: usize, weights: &[f64], min: usize) -> Result<(Vec<usize>, usize), usize> {
+    let needed = min.saturating_mul(weights.len());
+    if needed > total {
         return Err(needed);
     }
     let sum: f64 = weights.iter().sum();
-    // The least first, so that rounding can't overdraw.
-    let rest = (whole - needed) as f64 * OWN;
-    let own: Vec<usize> =
-        weights.iter().map(|w| least + (rest * w / sum.max(f64::MIN_POSITIVE)) as usize).collect();
-    let reserve = whole - own.iter().sum::<usize>();
-    Ok((own, reserve))
+    // The minimum parts are subtracted first, so that rounding cannot exceed the total.
+    let rest = (total - needed) as f64 * GUARANTEED_FRACTION;
+    let guaranteed: Vec<usize> =
+        weights.iter().map(|w| min + (rest * w / sum.max(f64::MIN_POSITIVE)) as usize).collect();
+    let reserve = total - guaranteed.iter().sum::<usize>();
+    Ok((guaranteed, reserve))
 }
 
 #[cfg(test)]
@@ -148,7 +157,7 @@
     use super::*;
 
     #[test]
-    fn one_that_takes_all_it_gets_leaves_the_others_their_own_and_half_of_the_reserve() {
+    fn a_greedy_share_leaves_half_of_the_reserve_and_the_guaranteed_parts() {
         let reserve = Reserve::new(100);
         let (greedy, modest) = (Share::new(10, &reserve), Share::new(10, &reserve));
         let held: Vec<Permit> = std::iter::from_fn(|| greedy.acquire(1)).collect();
@@ -163,7 +172,7 @@
     }
 
     #[test]
-    fn a_share_alone_is_a_plain_limit() {
+    fn a_standalone_share_is_a_plain_limit() {
         let share = Share::standalone(3);
         let held: Vec<_> = std::iter::from_fn(|| share.acquire(1)).collect();
         assert_eq!((held.len(), share.borrowed()), (3, 0));
@@ -171,7 +180,7 @@
     }
 
     #[test]
-    fn sizes_change_under_what_is_taken() {
+    fn resizing_keeps_units_in_use_allocated() {
         let reserve = Reserve::new(10);
         let share = Share::new(4, &reserve);
         let held = share.acquire(4);
@@ -186,7 +195,7 @@
     }
 
     #[test]
-    fn a_whole_is_divided_without_rest_or_overdraft() {
+    fn division_uses_the_whole_total_and_never_exceeds_it() {
         assert_eq!(divide(100, &[1.0, 3.0], 0), Ok((vec![12, 37], 51)));
         assert_eq!(divide(3, &[1.0; 3], 1), Ok((vec![1; 3], 0)));
         assert_eq!(divide(2, &[1.0; 3], 1), Err(3));
@@ -194,7 +203,7 @@
     }
 
     #[test]
-    fn the_accounts_agree_whatever_happens() {
+    fn counts_stay_consistent_over_random_operations() {
         let seed = fastrand::u64(..);
         println!("seed {seed}");
         let mut rng = fastrand::Rng::with_seed(seed);
