--- a/routing/benches/lookup.rs
+++ b/routing/benches/lookup.rs
@@ -1,4 +1,4 @@
-//! Look-up time by the number of routes. Run by hand: `cargo bench -p sloeline-routing`.
+//! Route lookup time by the number of routes. Run manually: `cargo bench -p sloeline-routing`.
 
 use std::hint::black_box;
 
@@ -7,8 +7,9 @@
 use sloeline_routing::table::Table;
 use sloeline_routing::target::Target;
 
+/// The `n`th route of the table.
 fn route(n: usize) -> Route {
-    // A tenth as many services, each with some operations under a template; every tenth has a host of its own.
+    // Each service has ten operations under one path template; every tenth route has its own host.
     let path = format!("/v1/service-{}/{{id}}/operation-{}", n / 10, n % 10);
     let host = if n.is_multiple_of(10) { format!("h{n}.example") } else { "*".to_owned() };
     Route {
@@ -20,6 +21,7 @@
     }
 }
 
+/// Measures lookups in tables of 10 to 10,000 routes.
 fn lookup(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("lookup");
     for count in [10, 100, 1_000, 10_000] {
--- a/routing/src/analysis.rs
+++ b/routing/src/analysis.rs
@@ -1,21 +1,21 @@
-//! Which routes contradict each other, seen from the routes alone.
+//! Static analysis of a route configuration: finds overlapping, contradictory and unreachable routes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::pattern::{Condition, HostPattern, Predicate, Route, Segment};
 
-/// What is wrong with routes; numbers are places in the list.
+/// A problem in a list of routes. Routes are identified by their index in the list.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Finding {
-    /// Some request fits both, and neither goes first.
+    /// A request can match both routes, and neither takes precedence. Holds the lower index first.
     Overlap(usize, usize),
-    /// No request can meet these two conditions of the route at once.
+    /// No request can meet two conditions of a route at once. Holds the route and the indexes of the conditions.
     Contradiction(usize, usize, usize),
-    /// Every request that fits the first goes to one of the others.
+    /// Every request that matches the route goes to one of the other routes, so the route is never chosen.
     Shadowed(usize, BTreeSet<usize>),
 }
 
-/// All findings, each once, in the order of the routes.
+/// Returns all findings, sorted and absent duplicates.
 pub fn analyze(routes: &[Route]) -> Vec<Finding> {
     let mut found = BTreeSet::new();
     for (at, route) in routes.iter().enumerate() {
@@ -28,42 +28,47 @@
             }
         }
     }
-    // Only routes of one host and one shape of path can be equal in rank, or cover each other.
+    // Only routes with the same host pattern and path shape can have equal precedence or shadow each other.
     let mut groups: BTreeMap<(&HostPattern, String), Vec<usize>> = BTreeMap::new();
     for (at, route) in routes.iter().enumerate() {
         for host in route.hosts.iter().collect::<BTreeSet<_>>() {
-            groups.entry((host, shape(route))).or_default().push(at);
+            groups.entry((host, shape_key(route))).or_default().push(at);
         }
     }
-    let mut alive = BTreeSet::new();
-    let mut covers: BTreeMap<usize, BTreeSet<usize>> = BTreeMap::new();
+    let mut reachable = BTreeSet::new();
+    let mut shadowed: BTreeMap<usize, BTreeSet<usize>> = BTreeMap::new();
     for group in groups.values() {
         for (i, &a) in group.iter().enumerate() {
             for &b in &group[i + 1..] {
-                if routes[a].specificity() == routes[b].specificity() && meet(&routes[a], &routes[b]) {
+                if routes[a].specificity() == routes[b].specificity()
+                    && can_both_match(&routes[a], &routes[b])
+                {
                     found.insert(Finding::Overlap(a.min(b), a.max(b)));
                 }
             }
-            match cover(routes, a, group) {
-                Some(by) => covers.entry(a).or_default().extend(by),
+            match shadowing_routes(routes, a, group) {
+                Some(by) => shadowed.entry(a).or_default().extend(by),
                 None => {
-                    alive.insert(a);
+                    reachable.insert(a);
                 }
             }
         }
     }
     found.extend(
-        covers.into_iter().filter(|(at, _)| !alive.contains(at)).map(|(at, by)| Finding::Shadowed(at, by)),
+        shadowed
+            .into_iter()
+            .filter(|(at, _)| !reachable.contains(at))
+            .map(|(at, by)| Finding::Shadowed(at, by)),
     );
     found.into_iter().collect()
 }
 
-/// A key that is the same for patterns of one shape.
-fn shape(route: &Route) -> String {
+/// A key that is equal for path patterns that differ only in parameter names.
+fn shape_key(route: &Route) -> String {
     let mut key = String::new();
     for segment in &route.path.segments {
         key.push('/');
-        // No text in normal form holds a brace.
+        // A normalized literal contains no braces, so the keys cannot collide.
         key.push_str(match segment {
             Segment::Literal(text) => text,
             Segment::Parameter(_) => "{}",
@@ -75,39 +80,47 @@
     key
 }
 
-/// Some request may fit both, host and path being the same.
-fn meet(a: &Route, b: &Route) -> bool {
-    let methods =
+/// Whether a request can match both routes, given that their hosts and paths are the same.
+fn can_both_match(a: &Route, b: &Route) -> bool {
+    let methods_overlap =
         a.methods.is_empty() || b.methods.is_empty() || a.methods.iter().any(|m| b.allows_method(m));
-    methods && !a.conditions.iter().any(|x| b.conditions.iter().any(|y| x.excludes(y)))
+    methods_overlap && !a.conditions.iter().any(|x| b.conditions.iter().any(|y| x.excludes(y)))
 }
 
-/// The routes of the group that together take all that fits the route, if there are such.
-fn cover(routes: &[Route], at: usize, group: &[usize]) -> Option<BTreeSet<usize>> {
+/// Finds routes of the group that take precedence over the route and together match every request that it matches.
+fn shadowing_routes(routes: &[Route], at: usize, group: &[usize]) -> Option<BTreeSet<usize>> {
     let route = &routes[at];
-    // What each route that goes first asks for beyond what this one does.
-    let mut beyond: Vec<(usize, Vec<&Condition>)> = Vec::new();
+    // Each route with higher precedence, and its conditions that this route does not imply.
+    let mut preceding: Vec<(usize, Vec<&Condition>)> = Vec::new();
     for &other in group {
-        let first = &routes[other];
-        let methods = first.methods.is_empty()
-            || !route.methods.is_empty() && route.methods.iter().all(|m| first.allows_method(m));
-        if other == at || first.specificity() <= route.specificity() || !methods || !meet(route, first) {
+        let candidate = &routes[other];
+        let methods_covered = candidate.methods.is_empty()
+            || !route.methods.is_empty() && route.methods.iter().all(|m| candidate.allows_method(m));
+        if other == at
+            || candidate.specificity() <= route.specificity()
+            || !methods_covered
+            || !can_both_match(route, candidate)
+        {
             continue;
         }
-        let more =
-            first.conditions.iter().filter(|c| !route.conditions.iter().any(|own| implies(own, c))).collect();
-        beyond.push((other, more));
+        let extra = candidate
+            .conditions
+            .iter()
+            .filter(|c| !route.conditions.iter().any(|own| implies(own, c)))
+            .collect();
+        preceding.push((other, extra));
     }
-    if let Some((other, _)) = beyond.iter().find(|(_, more)| more.is_empty()) {
+    if let Some((other, _)) = preceding.iter().find(|(_, extra)| extra.is_empty()) {
         return Some(BTreeSet::from([*other]));
     }
-    // Present on one side and absent on the other is everything.
-    let single = |test: &Predicate| {
+    // A route that requires a field and one that requires its absence together match every request.
+    let single_extra = |test: &Predicate| {
         let test = test.clone();
-        beyond.iter().filter(move |(_, more)| more.len() == 1 && more[0].predicate == test)
+        preceding.iter().filter(move |(_, extra)| extra.len() == 1 && extra[0].predicate == test)
     };
-    for (a, more) in single(&Predicate::Present) {
-        if let Some((b, _)) = single(&Predicate::Absent).find(|(_, other)| other[0].source == more[0].source)
+    for (a, extra) in single_extra(&Predicate::Present) {
+        if let Some((b, _)) =
+            single_extra(&Predicate::Absent).find(|(_, other)| other[0].source == extra[0].source)
         {
             return Some(BTreeSet::from([*a, *b]));
         }
@@ -115,7 +128,7 @@
     None
 }
 
-/// Whatever meets the first meets the second.
+/// Whether every request that meets condition `a` also meets condition `b`.
 fn implies(a: &Condition, b: &Condition) -> bool {
     a == b
         || a.source == b.source
@@ -141,12 +154,12 @@
         }
     }
 
-    fn is(value: &str) -> Predicate {
+    fn equals(value: &str) -> Predicate {
         Predicate::Equals(value.to_owned())
     }
 
     #[test]
-    fn equals_in_rank_that_one_request_may_fit_are_found_and_no_others() {
+    fn overlaps_between_routes_of_equal_precedence_are_reported() {
         let get = route(&["GET", "HEAD"], "/a/{x}", &[]);
         assert_eq!(analyze(&[get.clone(), route(&["HEAD"], "/a/{y}", &[])]), [Finding::Overlap(0, 1)]);
         for other in [
@@ -158,31 +171,37 @@
         ] {
             assert_eq!(analyze(&[get.clone(), other.clone()]), [], "{other:?}");
         }
-        let one = |name, test| route(&["GET"], "/a", &[(name, test)]);
-        assert_eq!(analyze(&[one("h", is("1")), one("h", is("2"))]), []);
-        assert_eq!(analyze(&[one("h", is("1")), one("h", Predicate::Absent)]), []);
-        assert_eq!(analyze(&[one("h", is("1")), one("i", is("1"))]), [Finding::Overlap(0, 1)]);
-        assert_eq!(analyze(&[one("h", is("1")), one("h", Predicate::Present)]), [Finding::Overlap(0, 1)]);
-        let mut elsewhere = get.clone();
-        elsewhere.hosts = vec![HostPattern::Exact("a".into())];
-        assert_eq!(analyze(&[get, elsewhere]), []);
+        let with_condition = |name, test| route(&["GET"], "/a", &[(name, test)]);
+        assert_eq!(analyze(&[with_condition("h", equals("1")), with_condition("h", equals("2"))]), []);
+        assert_eq!(analyze(&[with_condition("h", equals("1")), with_condition("h", Predicate::Absent)]), []);
+        assert_eq!(
+            analyze(&[with_condition("h", equals("1")), with_condition("i", equals("1"))]),
+            [Finding::Overlap(0, 1)]
+        );
+        assert_eq!(
+            analyze(&[with_condition("h", equals("1")), with_condition("h", Predicate::Present)]),
+            [Finding::Overlap(0, 1)]
+        );
+        let mut other_host = get.clone();
+        other_host.hosts = vec![HostPattern::Exact("a".into())];
+        assert_eq!(analyze(&[get, other_host]), []);
     }
 
     #[test]
-    fn routes_that_no_request_reaches_are_found() {
-        let torn = route(&["GET"], "/a", &[("h", is("1")), ("h", Predicate::Absent)]);
-        assert_eq!(analyze(&[torn]), [Finding::Contradiction(0, 0, 1)]);
-        let rest = route(&["GET"], "/a", &[]);
-        let with = route(&["GET", "PUT"], "/a", &[("h", Predicate::Present)]);
-        let without = route(&["GET"], "/a", &[("h", Predicate::Absent)]);
+    fn contradictory_and_shadowed_routes_are_reported() {
+        let contradictory = route(&["GET"], "/a", &[("h", equals("1")), ("h", Predicate::Absent)]);
+        assert_eq!(analyze(&[contradictory]), [Finding::Contradiction(0, 0, 1)]);
+        let unconditional = route(&["GET"], "/a", &[]);
+        let present = route(&["GET", "PUT"], "/a", &[("h", Predicate::Present)]);
+        let absent = route(&["GET"], "/a", &[("h", Predicate::Absent)]);
         assert_eq!(
-            analyze(&[rest.clone(), with.clone(), without]),
+            analyze(&[unconditional.clone(), present.clone(), absent]),
             [Finding::Shadowed(0, BTreeSet::from([1, 2]))]
         );
-        assert_eq!(analyze(&[rest.clone(), with.clone()]), []);
-        // What asks for a value asks for the header.
-        let value = route(&["GET"], "/a", &[("h", is("1"))]);
-        let both = route(&["GET"], "/a", &[("h", Predicate::Present), ("h", is("1"))]);
+        assert_eq!(analyze(&[unconditional.clone(), present.clone()]), []);
+        // A condition on the value implies that the header is present.
+        let value = route(&["GET"], "/a", &[("h", equals("1"))]);
+        let both = route(&["GET"], "/a", &[("h", Predicate::Present), ("h", equals("1"))]);
         assert_eq!(analyze(&[value, both]), [Finding::Shadowed(0, BTreeSet::from([1]))]);
     }
 }
--- a/routing/src/lib.rs
+++ b/routing/src/lib.rs
@@ -1,8 +1,8 @@
-//! From a request to its route, without I/O and without a clock.
+//! Request routing, without I/O and without a clock.
 //!
-//! [`target`] brings what a caller wrote into the one form in which it is matched and forwarded, or says why it
-//! has none. [`pattern`] holds what a route asks for, [`table`] finds the route, [`analysis`] tells which routes
-//! contradict each other, and [`split`] deals requests out between pools.
+//! [`target`] normalizes a request target into the form that is matched and forwarded, or reports why that is not
+//! possible. [`pattern`] defines the match rules of a route, [`table`] looks up the route of a request, [`analysis`]
+//! finds conflicting and unreachable routes, and [`split`] distributes requests between pools by weight.
 
 pub mod analysis;
 pub mod pattern;
--- a/routing/src/pattern.rs
+++ b/routing/src/pattern.rs
@@ -1,23 +1,23 @@
-//! What a route asks of a request.
+//! Match rules of routes: host and path patterns, methods and conditions.
 
 use std::cmp::Ordering;
 use std::fmt;
 
 use crate::target::{Host, MAX_PATH_SEGMENTS, Path, Target, TargetError};
 
-/// Which hosts a route is for.
+/// A pattern for the host of a request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum HostPattern {
-    /// All of them, and requests that name none.
+    /// `*`: any host, and requests without a host.
     Any,
-    /// All below a name, `*.example` without its first two characters; not the name itself.
+    /// `*.example`: all subdomains of a name, but not the name itself. Holds the name without the `*.`.
     Subdomains(String),
-    /// One.
+    /// Exactly this host name.
     Exact(String),
 }
 
 impl HostPattern {
-    /// Reads `*`, `*.example` or `api.example`; a port has no place in it.
+    /// Parses `*`, `*.example` or `api.example`. A port is an error.
     pub fn parse(text: &str) -> Result<HostPattern, TargetError> {
         if text == "*" {
             return Ok(HostPattern::Any);
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Whether a host is meant.
+    /// Whether the pattern matches a host name; `None` stands for a request without a host.
     pub fn matches(&self, host: Option<&str>) -> bool {
         match (self, host) {
             (HostPattern::Any, _) => true,
@@ -44,7 +44,8 @@
         }
     }
 
-    /// More specific is greater; of two that match one host, the longer name.
+    /// Precedence among patterns that match the same host: the greater value is more specific. Of two subdomain patterns,
+    /// the longer name is more specific.
     pub fn rank(&self) -> (u8, usize) {
         match self {
             HostPattern::Any => (0, 0),
@@ -67,48 +68,51 @@
 /// A segment of a path pattern.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Segment {
-    /// This text, in normal form.
+    /// A segment with exactly this normalized text.
     Literal(String),
-    /// Any one segment, under a name.
+    /// Any single segment; the pattern refers to it by this name.
     Parameter(String),
 }
 
-/// Why a path pattern makes no sense.
+/// Why a path pattern is invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PatternError {
-    /// It has no normal form, so that no request could match it.
+    /// The path is not valid as a request target, so no request could match the pattern.
     Target(TargetError),
-    /// Braces elsewhere than round a whole segment's name.
+    /// A segment uses braces in another way than `{name}`. Holds the segment.
     InvalidParameter(String),
-    /// A name stands twice.
+    /// Two parameters have the same name. Holds the name.
     DuplicateParameter(String),
 }
 
 impl fmt::Display for PatternError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            PatternError::Target(why) => write!(f, "no request can match it: {why}"),
+            PatternError::Target(why) => write!(f, "no request can match the pattern: {why}"),
             PatternError::InvalidParameter(segment) => {
-                write!(f, "{segment:?}: a parameter is a whole segment, {{name}}, of letters, digits and _")
+                write!(
+                    f,
+                    "{segment:?}: a parameter must be a whole segment {{name}}, named with letters, digits and _"
+                )
             }
-            PatternError::DuplicateParameter(name) => write!(f, "the parameter {name:?} stands twice"),
+            PatternError::DuplicateParameter(name) => write!(f, "duplicate parameter {name:?}"),
         }
     }
 }
 
 impl std::error::Error for PatternError {}
 
-/// Which paths a route is for. A slash at the end of pattern or path counts for nothing.
+/// A pattern for the path of a request. A trailing slash is ignored in both the pattern and the path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PathPattern {
-    /// The segments that are asked for.
+    /// The leading segments that a path must have.
     pub segments: Vec<Segment>,
-    /// More segments may follow.
+    /// Whether further segments may follow.
     pub prefix: bool,
 }
 
 impl PathPattern {
-    /// Reads `/checks/{id}`.
+    /// Parses a pattern such as `/checks/{id}`. With `prefix`, it also matches longer paths.
     pub fn parse(text: &str, prefix: bool) -> Result<PathPattern, PatternError> {
         let mut segments = Vec::new();
         let inner = text.strip_prefix('/').ok_or(PatternError::Target(TargetError::UnsupportedForm))?;
@@ -116,12 +120,12 @@
         let parts = if inner.is_empty() { Vec::new() } else { inner.split('/').collect() };
         for part in parts {
             if let Some(name) = part.strip_prefix('{').and_then(|p| p.strip_suffix('}')) {
-                let good = |b: u8| b.is_ascii_alphanumeric() || b == b'_';
-                if name.is_empty() || !name.bytes().all(good) {
+                let is_name_char = |b: u8| b.is_ascii_alphanumeric() || b == b'_';
+                if name.is_empty() || !name.bytes().all(is_name_char) {
                     return Err(PatternError::InvalidParameter(part.to_owned()));
                 }
-                let known = |s: &Segment| matches!(s, Segment::Parameter(n) if n == name);
-                if segments.iter().any(known) {
+                let same_name = |s: &Segment| matches!(s, Segment::Parameter(n) if n == name);
+                if segments.iter().any(same_name) {
                     return Err(PatternError::DuplicateParameter(name.to_owned()));
                 }
                 segments.push(Segment::Parameter(name.to_owned()));
@@ -139,29 +143,30 @@
         Ok(PathPattern { segments, prefix })
     }
 
-    /// Whether a path is meant.
+    /// Whether the pattern matches a path.
     pub fn matches(&self, path: &Path) -> bool {
-        let long_enough =
+        let length_matches =
             if self.prefix { path.len() >= self.segments.len() } else { path.len() == self.segments.len() };
-        long_enough
+        length_matches
             && self.segments.iter().zip(path.segments()).all(|(segment, part)| match segment {
                 Segment::Literal(text) => text == part,
                 Segment::Parameter(_) => true,
             })
     }
 
-    /// Where a parameter stands.
+    /// The index of the segment that a parameter matches.
     pub fn parameter_index(&self, name: &str) -> Option<usize> {
         self.segments.iter().position(|s| matches!(s, Segment::Parameter(n) if n == name))
     }
 
-    /// How many parameters it has.
+    /// Number of parameters in the pattern.
     pub fn parameter_count(&self) -> usize {
         self.segments.iter().filter(|s| matches!(s, Segment::Parameter(_))).count()
     }
 
-    /// Of two that match the same path, the more specific is the greater: from left to right a text goes before a
-    /// parameter, a parameter before the end of a prefix, and the exact end before that of a prefix.
+    /// Compares two patterns that match the same path; the more specific one is greater. Segments are compared from the
+    /// left: a literal is more specific than a parameter, a parameter more than the end of the pattern, and an exact end
+    /// more than the end of a prefix.
     pub fn compare_specificity(&self, other: &PathPattern) -> Ordering {
         let kind = |p: &PathPattern, at: usize| match p.segments.get(at) {
             Some(Segment::Literal(_)) => 3,
@@ -169,14 +174,14 @@
             None if !p.prefix => 1,
             None => 0,
         };
-        let most = self.segments.len().max(other.segments.len());
-        (0..=most)
+        let max_len = self.segments.len().max(other.segments.len());
+        (0..=max_len)
             .map(|at| kind(self, at).cmp(&kind(other, at)))
             .find(|o| o.is_ne())
             .unwrap_or(Ordering::Equal)
     }
 
-    /// Matches the same paths: the names of parameters do not count.
+    /// Whether two patterns match the same paths, whatever the names of their parameters.
     pub fn same_shape(&self, other: &PathPattern) -> bool {
         let same = |(a, b): (&Segment, &Segment)| match (a, b) {
             (Segment::Literal(a), Segment::Literal(b)) => a == b,
@@ -205,12 +210,12 @@
     }
 }
 
-/// Where a condition looks.
+/// The part of a request whose value a [`Condition`] tests.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ConditionSource {
     /// A header, by its name in lower case.
     Header(String),
-    /// A parameter of the query, by its decoded name.
+    /// A query parameter, by its decoded name.
     Query(String),
 }
 
@@ -223,23 +228,23 @@
     }
 }
 
-/// What a condition asks for.
+/// The test that a [`Condition`] applies to a header or query parameter.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Predicate {
-    /// This value.
+    /// The field has exactly this value.
     Equals(String),
-    /// Any value.
+    /// The field is present, with any value.
     Present,
-    /// None.
+    /// The field is absent.
     Absent,
 }
 
-/// A condition beside host, method and path.
+/// A match condition on a header or query parameter.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Condition {
-    /// Where it looks.
+    /// The header or query parameter that is tested.
     pub source: ConditionSource,
-    /// What it asks for.
+    /// The test that the value must pass.
     pub predicate: Predicate,
 }
 
@@ -253,33 +258,33 @@
     }
 }
 
-/// What stands in a request at a place.
+/// The value of a header or query parameter in a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FieldValue {
-    /// Nothing.
+    /// The field is not in the request.
     Missing,
-    /// One value.
+    /// The field occurs once, with this value.
     Single(String),
-    /// Several, or one that is no text: readers differ on which of them counts.
+    /// The field occurs more than once or is not valid text: implementations disagree on which value counts.
     Ambiguous,
 }
 
-/// A request, as far as routes look at it.
+/// The parts of a request that routes match.
 pub struct Request<'a> {
-    /// The method, as it came: methods are case-sensitive (RFC 9110 section 9.1).
+    /// The method as received; methods are case-sensitive (RFC 9110 section 9.1).
     pub method: &'a str,
-    /// Its target.
+    /// The normalized request target.
     pub target: &'a Target,
-    /// What stands in a header, by its name in lower case.
+    /// Looks up a header by its name in lower case.
     pub header: &'a dyn Fn(&str) -> FieldValue,
 }
 
 impl Request<'_> {
-    /// What stands at a place.
-    pub fn field_value(&self, place: &ConditionSource) -> FieldValue {
-        match place {
+    /// The value of a header or query parameter.
+    pub fn field_value(&self, source: &ConditionSource) -> FieldValue {
+        match source {
             ConditionSource::Header(name) => (self.header)(name),
-            // Some servers part the pairs at semicolons too.
+            // Some servers also separate pairs at semicolons.
             ConditionSource::Query(_) if self.target.query.as_ref().is_some_and(|q| q.contains(';')) => {
                 FieldValue::Ambiguous
             }
@@ -294,25 +299,25 @@
         }
     }
 
-    /// The name of its host.
+    /// The host name without the port.
     pub fn host(&self) -> Option<&str> {
         self.target.host.as_ref().map(Host::name)
     }
 }
 
 impl Condition {
-    /// Whether a request meets it; nothing where that is unclear.
+    /// Whether a request meets the condition; `None` if the value is ambiguous.
     pub fn matches(&self, request: &Request<'_>) -> Option<bool> {
         match (&self.predicate, request.field_value(&self.source)) {
             (_, FieldValue::Ambiguous) => None,
-            (Predicate::Equals(wanted), FieldValue::Single(value)) => Some(*wanted == value),
+            (Predicate::Equals(expected), FieldValue::Single(value)) => Some(*expected == value),
             (Predicate::Equals(_), FieldValue::Missing) => Some(false),
-            (Predicate::Present, seen) => Some(seen != FieldValue::Missing),
-            (Predicate::Absent, seen) => Some(seen == FieldValue::Missing),
+            (Predicate::Present, value) => Some(value != FieldValue::Missing),
+            (Predicate::Absent, value) => Some(value == FieldValue::Missing),
         }
     }
 
-    /// No request can meet both.
+    /// Whether no request can meet both conditions.
     pub fn excludes(&self, other: &Condition) -> bool {
         self.source == other.source
             && match (&self.predicate, &other.predicate) {
@@ -324,29 +329,29 @@
     }
 }
 
-/// What a route asks for in all.
+/// The match rules of a route. A request must meet all of them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// Its name, for people.
+    /// The name of the route, shown to operators.
     pub name: String,
-    /// Its hosts, at least one.
+    /// Host patterns, at least one; a request must match any of them.
     pub hosts: Vec<HostPattern>,
-    /// Its methods; empty for all.
+    /// Allowed methods; empty allows all.
     pub methods: Vec<String>,
-    /// Its paths.
+    /// The path pattern.
     pub path: PathPattern,
-    /// What else must hold.
+    /// Conditions on headers and query parameters, all of which must hold.
     pub conditions: Vec<Condition>,
 }
 
 impl Route {
-    /// Whether a method is meant.
+    /// Whether the route allows a method.
     pub fn allows_method(&self, method: &str) -> bool {
         self.methods.is_empty() || self.methods.iter().any(|m| m == method)
     }
 
-    /// Of two routes with the same host and path, the greater goes first: one that names methods, then the one
-    /// with more conditions.
+    /// Precedence among routes with the same host and path pattern; the greater value comes first. A route that lists
+    /// methods precedes one that allows all, and of those a route with more conditions precedes one with fewer.
     pub fn specificity(&self) -> (bool, usize) {
         (!self.methods.is_empty(), self.conditions.len())
     }
--- a/routing/src/table.rs
+++ b/routing/src/table.rs
@@ -1,71 +1,82 @@
-//! Finds a request's route. The order of precedence does not depend on the order in which routes are given:
+//! Route lookup. Precedence does not depend on the order in which routes are configured; routes are compared by
 //!
-//! 1. the host: an exact name, then the longest `*.name`, then any;
-//! 2. the path, segment by segment from the left: text, then a parameter, then the end of a prefix;
-//! 3. a route that names methods before one that takes all;
-//! 4. the route with more conditions.
+//! 1. the host: an exact name, then the longest matching `*.name`, then `*`;
+//! 2. the path, segment by segment from the left: a literal, then a parameter, then the end of a prefix;
+//! 3. the methods: a route that lists methods precedes one that allows all;
+//! 4. the conditions: a route with more conditions precedes one with fewer.
 //!
-//! What is left equal is an error of the configuration, see [`crate::analysis`].
+//! Routes that are still equal are a configuration error, see [`crate::analysis`].
 //!
-//! A walk visits at most the nodes of one host's tree, and as many levels as the longest pattern has segments.
+//! A lookup visits the trees of the matching host patterns, each at most as deep as the longest pattern has segments.
 
 use std::collections::{BTreeSet, HashMap};
 
 use crate::pattern::{ConditionSource, HostPattern, Request, Route, Segment};
 
-/// Why a request has no route.
+/// Why no route was found for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NoRoute {
-    /// No route for this host and path.
+    /// No route matches the host, path and conditions.
     NotFound,
-    /// There are routes for the path, for these methods.
+    /// Routes exist for the path, but not for the method. Holds the methods that they allow.
     MethodNotAllowed(Vec<String>),
-    /// A header or parameter on which a route depends stands twice or is no text.
+    /// A header or query parameter that a route tests occurs more than once or is not valid text.
     Ambiguous(ConditionSource),
 }
 
+/// A node of a path tree. Each level stands for one path segment.
 #[derive(Default)]
 struct Node {
+    /// Child nodes for literal segments.
     literals: HashMap<Box<str>, Node>,
+    /// Child node for a parameter segment.
     parameter: Option<Box<Node>>,
-    /// Routes that end here, the first in precedence first.
+    /// Routes whose pattern ends at this node, in order of precedence.
     exact: Vec<usize>,
-    /// Routes for what begins so, the same.
+    /// Routes whose prefix pattern ends at this node, in order of precedence.
     prefix: Vec<usize>,
 }
 
-/// Routes, made ready for look-ups.
+/// An index of routes by host and path.
 pub struct Table {
+    /// The routes in the order given.
     routes: Vec<Route>,
+    /// Path trees for exact host names.
     exact: HashMap<String, Node>,
-    below: HashMap<String, Node>,
+    /// Path trees for subdomain patterns, by the parent name.
+    subdomains: HashMap<String, Node>,
+    /// Path tree for routes that match any host.
     any: Node,
 }
 
-/// Why a route was not chosen.
+/// The outcome of matching one route against a request, for diagnostics.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It was.
+    /// The route was chosen.
     Chosen,
-    /// It would have matched, but the one chosen goes first.
+    /// The route matches, but the chosen route takes precedence.
     Outranked,
-    /// Another host.
+    /// The host does not match.
     HostMismatch,
-    /// Another path.
+    /// The path does not match.
     PathMismatch,
-    /// Another method.
+    /// The method is not allowed.
     MethodMismatch,
-    /// The condition with this number does not hold.
+    /// The condition with this index does not hold.
     ConditionFailed(usize),
-    /// It cannot be told whether the condition with this number holds.
+    /// The value that the condition with this index tests is ambiguous.
     ConditionAmbiguous(usize),
 }
 
 impl Table {
-    /// A table of these routes; numbers in its answers are places in the list.
+    /// Builds a table. Lookups return indexes into `routes`.
     pub fn new(routes: Vec<Route>) -> Table {
-        let mut table =
-            Table { routes: Vec::new(), exact: HashMap::new(), below: HashMap::new(), any: Node::default() };
+        let mut table = Table {
+            routes: Vec::new(),
+            exact: HashMap::new(),
+            subdomains: HashMap::new(),
+            any: Node::default(),
+        };
         let mut order: Vec<usize> = (0..routes.len()).collect();
         order.sort_by(|&a, &b| {
             let (a, b) = (&routes[a], &routes[b]);
@@ -76,7 +87,7 @@
             for host in &route.hosts {
                 let tree = match host {
                     HostPattern::Any => &mut table.any,
-                    HostPattern::Subdomains(name) => table.below.entry(name.clone()).or_default(),
+                    HostPattern::Subdomains(name) => table.subdomains.entry(name.clone()).or_default(),
                     HostPattern::Exact(name) => table.exact.entry(name.clone()).or_default(),
                 };
                 let mut node = tree;
@@ -96,27 +107,27 @@
         table
     }
 
-    /// The routes.
+    /// The routes in the order given to [`new`](Table::new).
     pub fn routes(&self) -> &[Route] {
         &self.routes
     }
 
-    /// The route of a request.
+    /// Finds the route of a request and returns its index.
     pub fn find(&self, request: &Request<'_>) -> Result<usize, NoRoute> {
-        let mut walk = Walk {
+        let mut lookup = Lookup {
             routes: &self.routes,
             request,
             segments: request.target.path.segments().collect(),
             methods: BTreeSet::new(),
         };
         for tree in self.trees(request.host()) {
-            match walk.visit(tree, 0) {
+            match lookup.visit(tree, 0) {
                 Ok(Some(route)) => return Ok(route),
                 Ok(None) => {}
-                Err(place) => return Err(NoRoute::Ambiguous(place)),
+                Err(source) => return Err(NoRoute::Ambiguous(source)),
             }
         }
-        let methods = walk.methods;
+        let methods = lookup.methods;
         Err(if methods.is_empty() {
             NoRoute::NotFound
         } else {
@@ -124,23 +135,23 @@
         })
     }
 
-    /// The trees that a host may be found in, in their order.
+    /// The path trees whose host pattern matches, in order of precedence.
     fn trees<'a>(&'a self, host: Option<&'a str>) -> impl Iterator<Item = &'a Node> {
         let exact = host.and_then(|h| self.exact.get(h));
-        let mut rest = host.filter(|_| !self.below.is_empty());
-        let below = std::iter::from_fn(move || {
+        let mut rest = host.filter(|_| !self.subdomains.is_empty());
+        let subdomains = std::iter::from_fn(move || {
             while let Some((_, name)) = rest.and_then(|r| r.split_once('.')) {
                 rest = Some(name);
-                if let Some(tree) = self.below.get(name) {
+                if let Some(tree) = self.subdomains.get(name) {
                     return Some(tree);
                 }
             }
             None
         });
-        exact.into_iter().chain(below).chain(std::iter::once(&self.any))
+        exact.into_iter().chain(subdomains).chain(std::iter::once(&self.any))
     }
 
-    /// What each route has to say of a request, in the order in which they were given.
+    /// The verdict on each route for a request, in the order in which the routes were given.
     pub fn explain(&self, request: &Request<'_>) -> Vec<Verdict> {
         let chosen = self.find(request).ok();
         self.routes
@@ -151,6 +162,7 @@
     }
 }
 
+/// Matches a single route against a request; `chosen` says whether the lookup returned this route.
 fn verdict(route: &Route, request: &Request<'_>, chosen: bool) -> Verdict {
     if chosen {
         return Verdict::Chosen;
@@ -174,19 +186,24 @@
     Verdict::Outranked
 }
 
-struct Walk<'a> {
+/// The state of one lookup.
+struct Lookup<'a> {
+    /// All routes of the table.
     routes: &'a [Route],
+    /// The request to match.
     request: &'a Request<'a>,
+    /// The path segments of the request.
     segments: Vec<&'a str>,
-    /// Methods of routes that would have matched but for theirs.
+    /// Methods allowed by routes that match the path but not the method of the request.
     methods: BTreeSet<&'a str>,
 }
 
-impl<'a> Walk<'a> {
+impl<'a> Lookup<'a> {
+    /// Searches the subtree of a node for a route; `at` is the index of the next path segment.
     fn visit(&mut self, node: &'a Node, at: usize) -> Result<Option<usize>, ConditionSource> {
         match self.segments.get(at).copied() {
             None => {
-                if let Some(found) = self.first(&node.exact)? {
+                if let Some(found) = self.first_match(&node.exact)? {
                     return Ok(Some(found));
                 }
             }
@@ -199,12 +216,12 @@
                 }
             }
         }
-        self.first(&node.prefix)
+        self.first_match(&node.prefix)
     }
 
-    /// The first route of a list whose method and conditions fit. A condition that cannot be told ends the search:
-    /// guards against a request that one reader takes for the safe operation and another for the unsafe one.
-    fn first(&mut self, list: &'a [usize]) -> Result<Option<usize>, ConditionSource> {
+    /// Returns the first route of a list whose method and conditions match. An ambiguous condition ends the search with an
+    /// error, so that a request cannot be routed as a safe operation here and executed as an unsafe one by the upstream.
+    fn first_match(&mut self, list: &'a [usize]) -> Result<Option<usize>, ConditionSource> {
         for &at in list {
             let route = &self.routes[at];
             if !route.allows_method(self.request.method) {
--- a/routing/src/target.rs
+++ b/routing/src/target.rs
@@ -1,90 +1,93 @@
-//! The normal form of a request's target: what is matched is what is forwarded.
+//! Normalization of request targets. The normalized target is both matched against routes and forwarded.
 //!
-//! A path that two readers may understand differently has no normal form and is an error, so that no operation
-//! is reached under another route's class. RFC 3986 section 6.2.2 says which forms are equivalent (case of the
-//! hexadecimal digits, percent-encoded unreserved characters); those are brought into one. Everything on which
-//! real servers disagree is refused: dot segments, empty segments, path parameters (`;a=b`), and encoded
-//! characters that delimit (`%2F`, `%5C`, `%3B`, `%3F`, `%23`, a second encoding such as `%252e`).
+//! A path that two HTTP implementations may interpret differently is rejected, so that no operation can be reached under
+//! the class of another route. Forms that RFC 3986 section 6.2.2 calls equivalent (case of hexadecimal digits,
+//! percent-encoded unreserved characters) are normalized to one. Everything on which real servers disagree is rejected:
+//! dot segments, empty segments, path parameters (`;a=b`) and encoded delimiters (`%2F`, `%5C`, `%3B`, `%3F`, `%23`, or
+//! a double encoding such as `%252e`).
 
 use std::fmt;
 
-/// Most segments of a path: bounds the walk through the routes.
+/// Maximum number of segments in a path. Bounds the depth of a route lookup.
 pub const MAX_PATH_SEGMENTS: usize = 64;
-/// Most pairs of a query that are looked at: bounds the work for one request.
+/// Maximum number of name-value pairs in a query. Bounds the parsing work for one request.
 pub const MAX_QUERY_PAIRS: usize = 256;
 
-/// Why a target has no normal form.
+/// Why a request target is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetError {
-    /// Not `/path` and not `http://host/path`.
+    /// The target is neither `/path` nor `http://host/path`.
     UnsupportedForm,
-    /// A character that no path may hold (RFC 3986 section 3.3).
+    /// The path contains a character that RFC 3986 section 3.3 does not allow there, or the target contains a fragment.
     InvalidCharacter,
-    /// `%` without two hexadecimal digits.
+    /// A `%` in the path is not followed by two hexadecimal digits.
     InvalidPercentEncoding,
-    /// `.` or `..`, plain or encoded.
+    /// A path segment is `.` or `..`, literally or percent-encoded.
     DotSegment,
-    /// `//` within the path.
+    /// The path contains `//`.
     EmptySegment,
-    /// An encoded delimiter or control character, or an encoding of an encoding.
+    /// The path contains a percent-encoded delimiter or control character, or a double encoding.
     EncodedDelimiter,
-    /// A path parameter.
+    /// The path contains a path parameter (`;`).
     PathParameter,
-    /// Too many segments.
+    /// The path has more than [`MAX_PATH_SEGMENTS`] segments.
     TooManySegments,
-    /// No host, several, or one that cannot be read.
+    /// The host is missing, ambiguous or malformed.
     InvalidHost,
-    /// The target's own host is not that of the `Host` line.
+    /// The host of an absolute target differs from the `Host` header.
     HostMismatch,
-    /// A query that cannot be read.
+    /// The query has a malformed percent-encoding, is not UTF-8, or has more than [`MAX_QUERY_PAIRS`] pairs.
     InvalidQuery,
 }
 
 impl fmt::Display for TargetError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            TargetError::UnsupportedForm => "the target is neither a path nor a whole http address",
-            TargetError::InvalidCharacter => "the path holds a character that must be encoded",
-            TargetError::InvalidPercentEncoding => "% without two hexadecimal digits",
+            TargetError::UnsupportedForm => "the target is neither a path nor an absolute http URL",
+            TargetError::InvalidCharacter => "the path contains a character that must be percent-encoded",
+            TargetError::InvalidPercentEncoding => "the path contains % without two hexadecimal digits",
             TargetError::DotSegment => "the path holds . or .. as a segment",
-            TargetError::EmptySegment => "the path holds an empty segment",
+            TargetError::EmptySegment => "the path contains an empty segment",
             TargetError::EncodedDelimiter => {
-                "the path holds an encoded delimiter, control character or second encoding"
+                "the path contains an encoded delimiter or control character, or a double encoding"
             }
-            TargetError::PathParameter => "the path holds a parameter (;)",
+            TargetError::PathParameter => "the path contains a parameter (;)",
             TargetError::TooManySegments => "the path has too many segments",
-            TargetError::InvalidHost => "there must be one readable Host",
-            TargetError::HostMismatch => "the target names another host than Host",
-            TargetError::InvalidQuery => "the query cannot be read",
+            TargetError::InvalidHost => "exactly one valid Host is required",
+            TargetError::HostMismatch => "the host of the target differs from Host",
+            TargetError::InvalidQuery => "the query is malformed or has too many pairs",
         })
     }
 }
 
 impl std::error::Error for TargetError {}
 
-/// A path in normal form.
+/// A normalized path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Path {
+    /// The whole path, normalized.
     text: String,
-    /// Where each segment begins and ends. A slash at the end begins none.
+    /// Byte range of each segment in `text`. A trailing slash does not start a segment.
     segments: Vec<(usize, usize)>,
 }
 
+/// The value of a hexadecimal digit.
 fn hex(byte: u8) -> Option<u8> {
     (byte as char).to_digit(16).map(|d| d as u8)
 }
 
-fn unreserved(byte: u8) -> bool {
+/// Whether a character is unreserved (RFC 3986 section 2.3): encoded and literal forms are equivalent.
+fn is_unreserved(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || b"-._~".contains(&byte)
 }
 
-/// `pchar` without the percent sign (RFC 3986 section 3.3), and `/`.
-fn plain(byte: u8) -> bool {
-    unreserved(byte) || b"!$&'()*+,=:@/".contains(&byte)
+/// Whether a character may stand unencoded in a path: `/`, or `pchar` without the percent sign (RFC 3986 section 3.3).
+fn is_path_char(byte: u8) -> bool {
+    is_unreserved(byte) || b"!$&'()*+,=:@/".contains(&byte)
 }
 
 impl Path {
-    /// The normal form of a path as it came, without its query.
+    /// Normalizes a path as received, without the query.
     pub fn parse(raw: &str) -> Result<Path, TargetError> {
         let bytes = raw.as_bytes();
         if bytes.first() != Some(&b'/') {
@@ -105,7 +108,7 @@
                     };
                     at += 2;
                     let encoded = high * 16 + low;
-                    if unreserved(encoded) {
+                    if is_unreserved(encoded) {
                         text.push(encoded as char);
                     } else if encoded.is_ascii_control() || b"/\\;?#".contains(&encoded) {
                         return Err(TargetError::EncodedDelimiter);
@@ -116,15 +119,15 @@
                         text.extend(digit(high).into_iter().chain(digit(low)));
                     }
                 }
-                _ if plain(byte) => text.push(byte as char),
+                _ if is_path_char(byte) => text.push(byte as char),
                 _ => return Err(TargetError::InvalidCharacter),
             }
         }
-        // Looked for in what came of the first decoding: it may have made the digits.
-        let twice = |at: usize| {
+        // Double encoding is checked on the normalized text, since the first decoding may have produced the digits.
+        let double_encoded = |at: usize| {
             text.as_bytes().get(at + 3..at + 5).is_some_and(|d| d.iter().all(u8::is_ascii_hexdigit))
         };
-        if text.match_indices("%25").any(|(at, _)| twice(at)) {
+        if text.match_indices("%25").any(|(at, _)| double_encoded(at)) {
             return Err(TargetError::EncodedDelimiter);
         }
         let mut segments = Vec::new();
@@ -144,41 +147,43 @@
         Ok(Path { text, segments })
     }
 
-    /// The whole path.
+    /// The whole normalized path.
     pub fn as_str(&self) -> &str {
         &self.text
     }
 
-    /// The segments. A slash at the end counts for nothing: servers differ on whether it makes another path.
+    /// The segments of the path. A trailing slash is ignored, since servers disagree on whether it makes a different path.
     pub fn segments(&self) -> impl DoubleEndedIterator<Item = &str> + ExactSizeIterator {
         self.segments.iter().map(|&(from, to)| &self.text[from..to])
     }
 
-    /// A segment by its place.
+    /// The segment at an index, counted from 0.
     pub fn segment(&self, at: usize) -> Option<&str> {
         self.segments.get(at).map(|&(from, to)| &self.text[from..to])
     }
 
-    /// How many segments there are.
+    /// Number of segments.
     pub fn len(&self) -> usize {
         self.segments.len()
     }
 
-    /// It is `/`.
+    /// Whether the path is `/`.
     pub fn is_empty(&self) -> bool {
         self.segments.is_empty()
     }
 }
 
-/// A host in normal form: lower case, without a dot at the end; the port aside.
+/// A normalized host with an optional port. The name is in lower case without a trailing dot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Host {
+    /// The name in lower case, or an IPv6 address in brackets.
     name: String,
+    /// The port, if the host names one.
     port: Option<u16>,
 }
 
 impl Host {
-    /// Reads `name`, `name:port` or `[address]:port` (RFC 3986 section 3.2.2; no user, no encoding).
+    /// Parses `name`, `name:port` or `[address]:port` (RFC 3986 section 3.2.2). User info and percent-encoding are rejected.
     pub fn parse(raw: &str) -> Result<Host, TargetError> {
         let (name, port) = match raw.strip_prefix('[') {
             Some(rest) => {
@@ -209,11 +214,12 @@
         Ok(Host { name, port })
     }
 
-    /// The name, as routes match it.
+    /// The host name that routes match, without the port.
     pub fn name(&self) -> &str {
         &self.name
     }
 
+    /// The port, or the default port of `http`.
     fn port(&self) -> u16 {
         self.port.unwrap_or(80)
     }
@@ -228,23 +234,24 @@
     }
 }
 
-/// A request's target in normal form.
+/// A normalized request target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// Nothing only where the caller is older than HTTP/1.1 and names none.
+    /// The host, or `None` if the request names none, as HTTP/1.0 allows.
     pub host: Option<Host>,
-    /// The path.
+    /// The normalized path.
     pub path: Path,
-    /// The query as it came.
+    /// The query exactly as received, without the `?`.
     pub query: Option<String>,
 }
 
 impl Target {
-    /// Reads a request target (RFC 9112 section 3.2) and the `Host` line. A whole address must name the same host.
+    /// Parses a request target (RFC 9112 section 3.2) and the `Host` header. The host of an absolute target must equal the
+    /// `Host` header.
     pub fn parse(target: &str, host: Option<&str>) -> Result<Target, TargetError> {
         let host = host.map(Host::parse).transpose()?;
-        let scheme = target.get(..7).is_some_and(|s| s.eq_ignore_ascii_case("http://"));
-        let (own, rest) = if scheme {
+        let absolute = target.get(..7).is_some_and(|s| s.eq_ignore_ascii_case("http://"));
+        let (own, rest) = if absolute {
             let rest = &target[7..];
             let end = rest.find(['/', '?', '#']).unwrap_or(rest.len());
             (Some(Host::parse(&rest[..end])?), &rest[end..])
@@ -264,14 +271,14 @@
             Some((path, query)) => (path, Some(query)),
             None => (rest, None),
         };
-        let path = Path::parse(if scheme && path.is_empty() { "/" } else { path })?;
+        let path = Path::parse(if absolute && path.is_empty() { "/" } else { path })?;
         if let Some(query) = query {
-            pairs(query)?;
+            parse_query(query)?;
         }
         Ok(Target { host, path, query: query.map(str::to_owned) })
     }
 
-    /// Path and query, as they are forwarded.
+    /// The path and query to forward.
     pub fn path_and_query(&self) -> String {
         match &self.query {
             Some(query) => format!("{}?{query}", self.path.as_str()),
@@ -279,25 +286,25 @@
         }
     }
 
-    /// The pairs of the query, decoded.
+    /// The decoded name-value pairs of the query.
     pub fn query_pairs(&self) -> Vec<(String, String)> {
-        self.query.as_deref().and_then(|q| pairs(q).ok()).unwrap_or_default()
+        self.query.as_deref().and_then(|q| parse_query(q).ok()).unwrap_or_default()
     }
 }
 
-/// The pairs of a query, as forms write them; `+` is a space. Semicolons do not part pairs, and what cannot be
-/// decoded into text is an error, since another reader would find another name there.
-fn pairs(query: &str) -> Result<Vec<(String, String)>, TargetError> {
+/// Parses a query as `application/x-www-form-urlencoded` pairs; `+` decodes to a space. Semicolons do not separate
+/// pairs. Text that does not decode to UTF-8 is an error, since another implementation could read a different name.
+fn parse_query(query: &str) -> Result<Vec<(String, String)>, TargetError> {
     let parts = query.split('&').filter(|p| !p.is_empty());
-    let read = |part: &str| {
+    let parse = |part: &str| {
         let (name, value) = part.split_once('=').unwrap_or((part, ""));
         Ok((percent_decode(&name.replace('+', " "))?, percent_decode(&value.replace('+', " "))?))
     };
-    let pairs: Vec<_> = parts.take(MAX_QUERY_PAIRS + 1).map(read).collect::<Result<_, _>>()?;
+    let pairs: Vec<_> = parts.take(MAX_QUERY_PAIRS + 1).map(parse).collect::<Result<_, _>>()?;
     if pairs.len() > MAX_QUERY_PAIRS { Err(TargetError::InvalidQuery) } else { Ok(pairs) }
 }
 
-/// Text with its percent signs decoded.
+/// Decodes percent-encoded text; the result must be UTF-8.
 pub fn percent_decode(text: &str) -> Result<String, TargetError> {
     let bytes = text.as_bytes();
     let mut out = Vec::with_capacity(bytes.len());
@@ -323,7 +330,7 @@
     use super::*;
 
     #[test]
-    fn what_is_equivalent_has_one_form() {
+    fn equivalent_paths_normalize_to_one_form() {
         for (raw, normal) in [
             ("/", "/"),
             ("/checks/7", "/checks/7"),
@@ -340,7 +347,7 @@
     }
 
     #[test]
-    fn what_two_readers_understand_differently_has_none() {
+    fn ambiguous_paths_are_rejected() {
         for (raw, why) in [
             ("", TargetError::UnsupportedForm),
             ("checks", TargetError::UnsupportedForm),
@@ -378,7 +385,7 @@
     }
 
     #[test]
-    fn hosts_are_compared_without_case_last_dot_and_own_port() {
+    fn hosts_are_normalized_and_malformed_hosts_rejected() {
         let name = |raw: &str| Host::parse(raw).map(|h| h.to_string());
         assert_eq!(name("API.Example."), Ok("api.example".to_owned()));
         assert_eq!(name("api.example:8080"), Ok("api.example:8080".to_owned()));
@@ -389,7 +396,7 @@
     }
 
     #[test]
-    fn a_whole_address_names_the_same_host_or_none_is_served() {
+    fn the_host_of_an_absolute_target_must_match_the_host_header() {
         let read = |target: &str, host| Target::parse(target, host).map(|t| (t.host, t.path.text));
         let own = Host::parse("api.example").ok();
         for target in ["http://API.example./a", "HTTP://api.example:80/a"] {
@@ -409,7 +416,7 @@
     }
 
     #[test]
-    fn queries_are_decoded_and_go_on_as_they_came() {
+    fn queries_are_decoded_but_forwarded_unchanged() {
         let target = Target::parse("/a?%76=1+2&w=%3D&x&&y=", None).expect("a target");
         let pairs = target.query_pairs();
         let pairs: Vec<_> = pairs.iter().map(|(n, v)| (n.as_str(), v.as_str())).collect();
