--- a/engine/src/clock.rs
+++ b/engine/src/clock.rs
@@ -1,13 +1,15 @@
-//! The module's time.
+//! The clock of the engine.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use finchshift::Micros;
 use tokio::time::Instant;
 
-/// The module's clock: Unix time at the start and monotonic from there, since lists tell Unix times.
+/// A monotonic clock that starts at the current Unix time, so that its values compare with the Unix times in lists.
 pub struct Clock {
-    unix: Micros,
+    /// Unix time when the clock was created, in microseconds.
+    unix_start: Micros,
+    /// The time on the runtime's clock when this clock was created.
     start: Instant,
 }
 
@@ -18,19 +20,19 @@
 }
 
 impl Clock {
-    /// Starts now.
+    /// Creates a clock that starts now.
     pub fn new() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { unix: unix.as_micros() as Micros, start: Instant::now() }
+        let unix_start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock { unix_start: unix_start.as_micros() as Micros, start: Instant::now() }
     }
 
-    /// The present time.
+    /// The current time in microseconds since the Unix epoch.
     pub fn now(&self) -> Micros {
-        self.unix + self.start.elapsed().as_micros() as Micros
+        self.unix_start + self.start.elapsed().as_micros() as Micros
     }
 
-    /// The same point on the runtime's clock.
+    /// Converts a time of this clock to the runtime's clock.
     pub fn instant(&self, at: Micros) -> Instant {
-        self.start + Duration::from_micros(at.saturating_sub(self.unix))
+        self.start + Duration::from_micros(at.saturating_sub(self.unix_start))
     }
 }
--- a/engine/src/engine.rs
+++ b/engine/src/engine.rs
@@ -1,5 +1,4 @@
-//! The core between tokio's clock and a [`Transport`]; the only caller of [`Core`] in the daemon. What calls and replies are
-//! made of is the business of the wire.
+//! Drives a [`Core`] with tokio's clock and a [`Transport`]. The transport defines what calls and replies are.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -16,15 +15,15 @@
 use crate::core::{Arrival, AttemptEnd, Core, Output, RequestStatus, Stage};
 use crate::types::{Answer, DiscoveryEntry, Failure, NewRequest, Target};
 
-/// The sockets, as the engine sees them. No method calls the engine back before it returns.
+/// The protocol and connections that the engine sends through. A method must not call the engine before it returns.
 pub trait Transport: Sized + 'static {
-    /// What a caller asks.
+    /// The call of a request, as passed in by the caller.
     type Call;
-    /// What an upstream answers.
+    /// The reply of an upstream.
     type Reply;
-    /// An attempt under way.
+    /// The handle of an attempt in flight.
     type Attempt;
-    /// Starts an attempt; its end is told to the report.
+    /// Starts an attempt, which has `limit` to complete; the engine enforces it. The end is reported through `report`.
     fn send(
         &self,
         to: Target,
@@ -32,70 +31,84 @@
         limit: Micros,
         report: AttemptReport<Self>,
     ) -> Self::Attempt;
-    /// Ends an attempt by closing its connection; tells whether it may have run.
-    fn abort(&self, out: Self::Attempt) -> bool;
-    /// The call's body still comes from its caller: its time counts from the last byte.
+    /// Ends an attempt by closing its connection. Returns whether the upstream may have executed it.
+    fn abort(&self, attempt: Self::Attempt) -> bool;
+    /// Whether the body of a call is still being received from the caller. Its time limit then starts with the last byte.
     fn body_pending(&self, _call: &Self::Call) -> bool {
         false
     }
-    /// A part of such a body is used up: the call cannot be sent again.
+    /// Whether a part of a streamed body has been consumed, so that the call cannot be sent again.
     fn body_consumed(&self, _call: &Self::Call) -> bool {
         false
     }
-    /// Asks an upstream how it is.
+    /// Sends a health probe to an upstream. The result is reported through [`Engine::probe_ended`].
     fn probe(&self, engine: &Rc<Engine<Self>>, to: Target);
     /// Closes the idle connections to an upstream.
     fn close_idle(&self, server: ServerId);
-    /// Watches discovery from now on.
+    /// Starts watching discovery. Lists and changes are reported through [`Engine::update_list`].
     fn watch(&self, engine: &Rc<Engine<Self>>);
-    /// Asks discovery once for the whole list.
+    /// Fetches the whole list from discovery once, to be reported through [`Engine::update_list`].
     fn fetch(&self, engine: &Rc<Engine<Self>>);
 }
 
-/// What the core does not hold of an open request.
-struct Held<W: Transport> {
+/// The parts of an open request that the core does not store.
+struct RequestHandles<W: Transport> {
+    /// The call, sent with each attempt.
     call: Rc<W::Call>,
+    /// Delivers the final answer to the caller; taken when it is sent.
     answer: Option<oneshot::Sender<Answer<W::Reply>>>,
-    out: Vec<(u32, W::Attempt)>,
+    /// Numbers and handles of the attempts in flight.
+    attempts: Vec<(u32, W::Attempt)>,
 }
 
-/// The balancer between its sockets.
+/// A balancer that processes requests: the [`Core`], its clock and its transport.
 pub struct Engine<W: Transport> {
-    wire: W,
+    /// Sends attempts and probes.
+    transport: W,
+    /// The clock that the core's times refer to.
     clock: Clock,
+    /// The state machine.
     core: RefCell<Core<W::Reply>>,
-    held: RefCell<HashMap<RequestId, Held<W>>>,
-    /// Outputs are being carried out: what they cause is added at their end.
-    acting: Cell<bool>,
-    /// When the timers are looked at next.
-    armed: Cell<Micros>,
-    earlier: Notify,
-    settled: Notify,
-    /// An attempt has ended.
-    ended: Notify,
+    /// The call, caller and attempts of each open request.
+    requests: RefCell<HashMap<RequestId, RequestHandles<W>>>,
+    /// Whether outputs are being processed. Further outputs that this causes are processed by the same loop.
+    processing_outputs: Cell<bool>,
+    /// When the timer task wakes up next.
+    next_wakeup: Cell<Micros>,
+    /// Wakes the timer task for a timer that is due before `next_wakeup`.
+    earlier_timer: Notify,
+    /// Notified when no request is open any more.
+    all_settled: Notify,
+    /// Notified when an attempt has ended.
+    attempt_ended: Notify,
 }
 
-/// Where an attempt's end is told, once. Dropped untold, as when its task died, it counts as a reset.
+/// Reports the end of one attempt, exactly once. If the report is dropped unused, as when the task of the attempt
+/// panicked, the attempt counts as reset.
 pub struct AttemptReport<W: Transport> {
+    /// The engine to report to.
     engine: Rc<Engine<W>>,
+    /// The request that the attempt belongs to.
     request: RequestId,
+    /// Number of the attempt within the request.
     attempt: u32,
-    told: bool,
+    /// Whether the end has been reported.
+    reported: bool,
 }
 
 impl<W: Transport> AttemptReport<W> {
-    /// The attempt ended.
+    /// Reports that the attempt has ended.
     pub fn end(mut self, outcome: Outcome, load: Option<fs::Load>, reply: Option<W::Reply>) {
-        self.told = true;
-        self.engine.ended(self.request, self.attempt, outcome, load, reply);
+        self.reported = true;
+        self.engine.report_end(self.request, self.attempt, outcome, load, reply);
     }
 
-    /// For a body that passes on while it comes.
+    /// Returns a handle to report the last byte of a streamed request body.
     pub fn body_receipt(&self) -> BodyReceipt<W> {
         BodyReceipt { engine: self.engine.clone(), request: self.request }
     }
 
-    /// For an answer that begins before the attempt ends.
+    /// Returns a handle to deliver a response that starts before the attempt ends.
     pub fn response_start(&self) -> ResponseStart<W> {
         ResponseStart { engine: self.engine.clone(), request: self.request, attempt: self.attempt }
     }
@@ -103,52 +116,60 @@
 
 impl<W: Transport> Drop for AttemptReport<W> {
     fn drop(&mut self) {
-        if !self.told {
-            self.engine.ended(self.request, self.attempt, Outcome::Reset, None, None);
+        if !self.reported {
+            self.engine.report_end(self.request, self.attempt, Outcome::Reset, None, None);
         }
     }
 }
 
-/// Where the beginning of an answer that goes on is told.
+/// Reports the start of a streamed response.
 pub struct ResponseStart<W: Transport> {
+    /// The engine to report to.
     engine: Rc<Engine<W>>,
+    /// The request that the attempt belongs to.
     request: RequestId,
+    /// Number of the attempt within the request.
     attempt: u32,
 }
 
 impl<W: Transport> ResponseStart<W> {
-    /// The caller gets this reply now; its rest is the wire's business, which reports the attempt's end as ever. Where
-    /// the caller has left the reply is dropped.
+    /// Delivers the reply to the caller now. The transport streams the rest and reports the end of the attempt as usual. If
+    /// the caller has disconnected, the reply is dropped.
     pub fn begin(self, reply: W::Reply) {
         let ResponseStart { engine, request, attempt } = self;
-        let unwanted = engine.with(|core, now| core.response_started(now, request, attempt, reply));
-        // What is dropped may come back with its end, so nothing is borrowed then.
-        drop(unwanted);
+        let undelivered = engine.with_core(|core, now| core.response_started(now, request, attempt, reply));
+        // Dropping the reply may report the end of the attempt, so the core must not be borrowed here.
+        drop(undelivered);
     }
 }
 
-/// Where it is told that the last byte of a body has come which an attempt passes on.
+/// Reports the last byte of a streamed request body.
 pub struct BodyReceipt<W: Transport> {
+    /// The engine to report to.
     engine: Rc<Engine<W>>,
+    /// The request that the body belongs to.
     request: RequestId,
 }
 
 impl<W: Transport> BodyReceipt<W> {
-    /// Now: the time of the request and of its attempt counts from here.
+    /// Reports that the body is complete. The time limits of the request and its attempts start now.
     pub fn complete(self) {
-        self.engine.with(|core, now| core.body_received(now, self.request));
+        self.engine.with_core(|core, now| core.body_received(now, self.request));
     }
 }
 
-/// A caller's hold on its request: dropped before the answer, the client is gone.
+/// A submitted request. Dropping it before the answer reports that the client has disconnected.
 pub struct PendingRequest<W: Transport> {
+    /// The engine that processes the request.
     engine: Rc<Engine<W>>,
+    /// The id of the request.
     request: RequestId,
+    /// Receives the final answer.
     answer: oneshot::Receiver<Answer<W::Reply>>,
 }
 
 impl<W: Transport> PendingRequest<W> {
-    /// The final answer.
+    /// Waits for the final answer.
     pub async fn answer(mut self) -> Answer<W::Reply> {
         (&mut self.answer).await.unwrap_or_else(|_| {
             let request = self.request;
@@ -160,95 +181,109 @@
 
 impl<W: Transport> Drop for PendingRequest<W> {
     fn drop(&mut self) {
-        self.engine.with(|core, now| core.caller_gone(now, self.request));
+        self.engine.with_core(|core, now| core.caller_gone(now, self.request));
     }
 }
 
 impl<W: Transport> Engine<W> {
-    /// A balancer with the given settings; `zones` holds the numbers that the settings use.
-    pub fn new(settings: fs::Settings, zones: &NameTable, seed: u64, wire: W) -> Result<Rc<Self>, String> {
+    /// Creates a balancer, see [`Core::new`]. Timers fire only while [`run`](Engine::run) is polled.
+    pub fn new(
+        settings: fs::Settings,
+        zones: &NameTable,
+        seed: u64,
+        transport: W,
+    ) -> Result<Rc<Self>, String> {
         Ok(Rc::new(Engine {
-            wire,
+            transport,
             clock: Clock::new(),
             core: RefCell::new(Core::new(settings, zones, seed)?),
-            held: RefCell::default(),
-            acting: Cell::new(false),
-            armed: Cell::new(Micros::MAX),
-            earlier: Notify::new(),
-            settled: Notify::new(),
-            ended: Notify::new(),
+            requests: RefCell::default(),
+            processing_outputs: Cell::new(false),
+            next_wakeup: Cell::new(Micros::MAX),
+            earlier_timer: Notify::new(),
+            all_settled: Notify::new(),
+            attempt_ended: Notify::new(),
         }))
     }
 
-    /// One step of the core, and what comes of it.
-    fn with<T>(self: &Rc<Self>, step: impl FnOnce(&mut Core<W::Reply>, Micros) -> T) -> T {
-        let done = step(&mut self.core.borrow_mut(), self.clock.now());
-        self.act();
-        done
+    /// Calls the core with the current time, then processes the outputs.
+    fn with_core<T>(self: &Rc<Self>, step: impl FnOnce(&mut Core<W::Reply>, Micros) -> T) -> T {
+        let result = step(&mut self.core.borrow_mut(), self.clock.now());
+        self.process_outputs();
+        result
     }
 
-    /// Carries out what the core wants, in its order. Guards against an event that comes of one output while others are
-    /// still to be carried out.
-    fn act(self: &Rc<Self>) {
-        if self.acting.replace(true) {
+    /// Executes the outputs of the core in order. Does nothing when called while an output is executed, so that an output
+    /// caused by another one is executed after those that are already queued.
+    fn process_outputs(self: &Rc<Self>) {
+        if self.processing_outputs.replace(true) {
             return;
         }
         loop {
             let output = self.core.borrow_mut().next_output();
             let Some(output) = output else { break };
-            self.carry_out(output);
+            self.execute(output);
         }
-        self.acting.set(false);
-        if self.core.borrow().next_timer().is_some_and(|at| at < self.armed.get()) {
-            self.earlier.notify_one();
+        self.processing_outputs.set(false);
+        if self.core.borrow().next_timer().is_some_and(|at| at < self.next_wakeup.get()) {
+            self.earlier_timer.notify_one();
         }
     }
 
-    fn carry_out(self: &Rc<Self>, output: Output<W::Reply>) {
+    /// Executes one output of the core.
+    fn execute(self: &Rc<Self>, output: Output<W::Reply>) {
         match output {
             Output::Send { request, attempt, to, limit } => {
-                let Some(call) = self.held.borrow().get(&request).map(|h| h.call.clone()) else { return };
-                let report = AttemptReport { engine: self.clone(), request, attempt, told: false };
-                let out = self.wire.send(to, call, limit, report);
-                if let Some(held) = self.held.borrow_mut().get_mut(&request) {
-                    held.out.push((attempt, out));
+                let Some(call) = self.requests.borrow().get(&request).map(|handles| handles.call.clone())
+                else {
+                    return;
+                };
+                let report = AttemptReport { engine: self.clone(), request, attempt, reported: false };
+                let handle = self.transport.send(to, call, limit, report);
+                if let Some(handles) = self.requests.borrow_mut().get_mut(&request) {
+                    handles.attempts.push((attempt, handle));
                 }
             }
             Output::Abort { request, attempt, outcome } => {
-                if let Some(out) = self.take_out_of(request, attempt) {
-                    let may_have_run = self.wire.abort(out);
-                    self.with(|core, now| core.attempt_aborted(now, request, attempt, outcome, may_have_run));
+                if let Some(handle) = self.take_attempt(request, attempt) {
+                    let may_have_run = self.transport.abort(handle);
+                    self.with_core(|core, now| {
+                        core.attempt_aborted(now, request, attempt, outcome, may_have_run)
+                    });
                 }
             }
             Output::Answer { request, answer } => {
-                let sender = self.held.borrow_mut().get_mut(&request).and_then(|h| h.answer.take());
-                // What nobody takes is dropped here, with nothing borrowed.
+                let sender =
+                    self.requests.borrow_mut().get_mut(&request).and_then(|handles| handles.answer.take());
+                // If the caller is gone, the answer is dropped here, while nothing is borrowed.
                 let _ = sender.map(|sender| sender.send(answer));
             }
             Output::Settled { request } => {
-                let held = self.held.borrow_mut().remove(&request);
-                drop(held);
+                let removed = self.requests.borrow_mut().remove(&request);
+                drop(removed);
                 if self.open_requests() == 0 {
-                    self.settled.notify_waiters();
+                    self.all_settled.notify_waiters();
                 }
             }
-            Output::Probe { to } => self.wire.probe(self, to),
-            Output::CloseIdle { server } => self.wire.close_idle(server),
-            Output::Watch => self.wire.watch(self),
-            Output::Fetch => self.wire.fetch(self),
+            Output::Probe { to } => self.transport.probe(self, to),
+            Output::CloseIdle { server } => self.transport.close_idle(server),
+            Output::Watch => self.transport.watch(self),
+            Output::Fetch => self.transport.fetch(self),
         }
     }
 
-    fn take_out_of(&self, request: RequestId, attempt: u32) -> Option<W::Attempt> {
-        let mut held = self.held.borrow_mut();
-        let out = &mut held.get_mut(&request)?.out;
-        let at = out.iter().position(|(a, _)| *a == attempt)?;
-        // Whoever waits looks when this step is over.
-        self.ended.notify_waiters();
-        Some(out.swap_remove(at).1)
+    /// Removes and returns the handle of an attempt in flight.
+    fn take_attempt(&self, request: RequestId, attempt: u32) -> Option<W::Attempt> {
+        let mut requests = self.requests.borrow_mut();
+        let attempts = &mut requests.get_mut(&request)?.attempts;
+        let at = attempts.iter().position(|(a, _)| *a == attempt)?;
+        // Tasks that wait for this run after the current step, when the core has been updated.
+        self.attempt_ended.notify_waiters();
+        Some(attempts.swap_remove(at).1)
     }
 
-    fn ended(
+    /// Passes the end of an attempt to the core.
+    fn report_end(
         self: &Rc<Self>,
         request: RequestId,
         attempt: u32,
@@ -256,29 +291,33 @@
         load: Option<fs::Load>,
         reply: Option<W::Reply>,
     ) {
-        drop(self.take_out_of(request, attempt));
-        let spent = self.held.borrow().get(&request).is_some_and(|h| self.wire.body_consumed(&h.call));
-        let ended = AttemptEnd { outcome, load, reply, body_consumed: spent };
-        self.with(|core, now| core.attempt_ended(now, request, attempt, ended));
-    }
-
-    /// Takes a request; the answer comes through what is returned.
-    pub fn submit(self: &Rc<Self>, asked: NewRequest<W::Call>) -> PendingRequest<W> {
-        let NewRequest { class, time_left, tenant, work, retry, operation, call } = asked;
+        drop(self.take_attempt(request, attempt));
+        let body_consumed = self
+            .requests
+            .borrow()
+            .get(&request)
+            .is_some_and(|handles| self.transport.body_consumed(&handles.call));
+        let end = AttemptEnd { outcome, load, reply, body_consumed };
+        self.with_core(|core, now| core.attempt_ended(now, request, attempt, end));
+    }
+
+    /// Submits a request. The final answer is received through the returned handle.
+    pub fn submit(self: &Rc<Self>, request: NewRequest<W::Call>) -> PendingRequest<W> {
+        let NewRequest { class, time_left, tenant, work, retry, operation, call } = request;
         let (sender, answer) = oneshot::channel();
-        let coming = self.wire.body_pending(&call);
-        let arrival = Arrival { class, time_left, tenant, work, retry, body_pending: coming, operation };
+        let body_pending = self.transport.body_pending(&call);
+        let arrival = Arrival { class, time_left, tenant, work, retry, body_pending, operation };
         let request = self.core.borrow_mut().submit(self.clock.now(), arrival);
-        let held = Held { call: Rc::new(call), answer: Some(sender), out: Vec::new() };
-        self.held.borrow_mut().insert(request, held);
-        self.act();
+        let handles = RequestHandles { call: Rc::new(call), answer: Some(sender), attempts: Vec::new() };
+        self.requests.borrow_mut().insert(request, handles);
+        self.process_outputs();
         PendingRequest { engine: self.clone(), request, answer }
     }
 
     /// Waits until no request is open.
     pub async fn drained(&self) {
         loop {
-            let settled = self.settled.notified();
+            let settled = self.all_settled.notified();
             if self.open_requests() == 0 {
                 return;
             }
@@ -286,31 +325,31 @@
         }
     }
 
-    /// Rings the timers; never returns.
+    /// Fires the timers; never returns.
     pub async fn run(self: Rc<Self>) {
         loop {
-            let earlier = self.earlier.notified();
+            let earlier_timer = self.earlier_timer.notified();
             let next = self.core.borrow().next_timer();
             match next {
                 Some(at) if at > self.clock.now() => {
-                    self.armed.set(at);
+                    self.next_wakeup.set(at);
                     tokio::select! {
                         () = tokio::time::sleep_until(self.clock.instant(at)) => {}
-                        () = earlier => {}
+                        () = earlier_timer => {}
                     }
                 }
-                Some(_) => _ = self.with(|core, now| core.fire_timer(now)),
+                Some(_) => _ = self.with_core(|core, now| core.fire_timer(now)),
                 None => {
-                    self.armed.set(Micros::MAX);
-                    earlier.await;
+                    self.next_wakeup.set(Micros::MAX);
+                    earlier_timer.await;
                 }
             }
         }
     }
 
-    /// The sockets.
+    /// The transport that the engine sends through.
     pub fn transport(&self) -> &W {
-        &self.wire
+        &self.transport
     }
 
     /// See [`Core::has_list`].
@@ -328,7 +367,7 @@
         self.core.borrow().open_requests()
     }
 
-    /// The present time, as it counts.
+    /// The current time on the clock of the engine, in microseconds since the Unix epoch.
     pub fn now(&self) -> Micros {
         self.clock.now()
     }
@@ -339,22 +378,22 @@
     }
 
     /// See [`Core::requests`].
-    pub fn requests(&self, most: usize) -> (BTreeMap<Stage, usize>, Vec<RequestStatus>) {
-        self.core.borrow().requests(self.clock.now(), most)
+    pub fn requests(&self, max: usize) -> (BTreeMap<Stage, usize>, Vec<RequestStatus>) {
+        self.core.borrow().requests(self.clock.now(), max)
     }
 
-    /// Waits until an upstream carries nothing, for one that is listed; tells how much it carries, first and whenever that
-    /// is another number.
-    pub async fn watch_in_flight(self: Rc<Self>, instance: &str, mut tell: impl FnMut(usize)) {
+    /// Waits until no attempt is in flight to an upstream. Passes the number of attempts in flight to `notify` at first and
+    /// whenever it changes. Returns at once for an upstream that is not listed.
+    pub async fn watch_in_flight(self: Rc<Self>, instance: &str, mut notify: impl FnMut(usize)) {
         let Some(server) = self.core.borrow().server_id(instance) else { return };
         let mut last = None;
         loop {
-            let ended = self.ended.notified();
-            let carries = self.core.borrow().attempts_to(server);
-            if last.replace(carries) != Some(carries) {
-                tell(carries);
+            let ended = self.attempt_ended.notified();
+            let in_flight = self.core.borrow().attempts_to(server);
+            if last.replace(in_flight) != Some(in_flight) {
+                notify(in_flight);
             }
-            if carries == 0 {
+            if in_flight == 0 {
                 return;
             }
             ended.await;
@@ -392,33 +431,33 @@
     }
 
     /// See [`Core::set_cancellation`].
-    pub fn set_cancellation(&self, cuts: bool) {
-        self.core.borrow_mut().set_cancellation(cuts);
+    pub fn set_cancellation(&self, enabled: bool) {
+        self.core.borrow_mut().set_cancellation(enabled);
     }
 
     /// See [`Core::start`].
     pub fn start(self: &Rc<Self>) {
-        self.with(Core::start);
+        self.with_core(Core::start);
     }
 
     /// See [`Core::update_list`].
     pub fn update_list(self: &Rc<Self>, kind: ListKind, listed: Vec<DiscoveryEntry>) {
-        self.with(|core, now| core.update_list(now, kind, &listed));
+        self.with_core(|core, now| core.update_list(now, kind, &listed));
     }
 
     /// See [`Core::enter_maintenance`].
     pub fn enter_maintenance(self: &Rc<Self>, instance: &str) -> bool {
-        self.with(|core, now| core.enter_maintenance(now, instance))
+        self.with_core(|core, now| core.enter_maintenance(now, instance))
     }
 
     /// See [`Core::replicate_maintenance`].
     pub fn replicate_maintenance(self: &Rc<Self>, instance: &str) {
-        self.with(|core, now| core.replicate_maintenance(now, instance));
+        self.with_core(|core, now| core.replicate_maintenance(now, instance));
     }
 
     /// See [`Core::exit_maintenance`].
     pub fn exit_maintenance(self: &Rc<Self>, instance: &str) -> bool {
-        self.with(|core, now| core.exit_maintenance(now, instance))
+        self.with_core(|core, now| core.exit_maintenance(now, instance))
     }
 
     /// See [`Core::unconfirmed_restarts`].
@@ -427,13 +466,13 @@
     }
 
     /// See [`Core::import_unconfirmed_restarts`].
-    pub fn import_unconfirmed_restarts(&self, returned: Vec<(String, Option<Micros>, Micros)>) {
-        self.core.borrow_mut().import_unconfirmed_restarts(returned);
+    pub fn import_unconfirmed_restarts(&self, restarts: Vec<(String, Option<Micros>, Micros)>) {
+        self.core.borrow_mut().import_unconfirmed_restarts(restarts);
     }
 
     /// See [`Core::forbid_retry`].
     pub fn forbid_retry(self: &Rc<Self>, operation: u64) {
-        self.with(|core, now| core.forbid_retry(now, operation));
+        self.with_core(|core, now| core.forbid_retry(now, operation));
     }
 
     /// See [`Core::learned`].
@@ -443,7 +482,7 @@
 
     /// See [`Core::import_learned`].
     pub fn import_learned(self: &Rc<Self>, learned: fs::LearnedState, zones: Vec<(String, Vec<f64>)>) {
-        self.with(|core, now| core.import_learned(now, learned, zones));
+        self.with_core(|core, now| core.import_learned(now, learned, zones));
     }
 
     /// See [`Core::in_flight`].
@@ -453,10 +492,10 @@
 
     /// See [`Core::set_sibling_in_flight`].
     pub fn set_sibling_in_flight(self: &Rc<Self>, others: &[(String, f64)]) {
-        self.with(|core, now| core.set_sibling_in_flight(now, others));
+        self.with_core(|core, now| core.set_sibling_in_flight(now, others));
     }
 
-    /// A probe was answered or not.
+    /// Reports the end of a health probe, successful or not, with the time it took.
     pub fn probe_ended(
         self: &Rc<Self>,
         server: ServerId,
@@ -464,7 +503,7 @@
         outcome: Outcome,
         load: Option<fs::Load>,
     ) {
-        self.with(|core, now| core.probe_ended(now, server, took.as_micros() as Micros, outcome, load));
+        self.with_core(|core, now| core.probe_ended(now, server, took.as_micros() as Micros, outcome, load));
     }
 }
 
--- a/engine/src/slots.rs
+++ b/engine/src/slots.rs
@@ -1,64 +1,64 @@
-//! Which number a class has in a pool's module, from one configuration to the next.
+//! Assigns class ids in a pool's decision module across configuration changes.
 //!
-//! A request keeps the class it came with: a definition that open requests have is never changed, the new one gets
-//! another number and begins with what the old one learned. Numbers that nobody uses are given again.
+//! A request keeps the class definition it arrived with. A definition that open requests use is never changed: the new
+//! definition of the class gets another id and inherits the learned latencies of the old one. Unused ids are reused.
 
 use finchshift::{Class, ClassId};
 
-/// A numbered class.
+/// A class definition. Its index in the list of slots is its class id.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSlot {
-    /// Its name in the configuration.
+    /// The name of the class in the configuration.
     pub name: String,
-    /// Its definition.
+    /// The definition of the class.
     pub class: Class,
 }
 
-/// Numbers for new configurations.
+/// The slots and class ids for a new configuration.
 #[derive(Debug, PartialEq)]
 pub struct Assignment {
-    /// All slots, those of classes that are no more among them.
+    /// All slots, including those of removed classes.
     pub slots: Vec<ClassSlot>,
-    /// For each slot, the old one whose latencies it begins with.
+    /// For each slot, the old class id whose learned latencies it inherits.
     pub inherited: Vec<Option<ClassId>>,
-    /// For each wanted class, its slot.
+    /// For each wanted class, its class id.
     pub class_ids: Vec<ClassId>,
 }
 
-/// Gives each wanted class a slot; `in_use` tells whether a request of an old slot is open.
+/// Assigns a slot to each wanted class. `in_use` returns whether a request with an old class id is open.
 pub fn assign(old: &[ClassSlot], wanted: &[ClassSlot], in_use: impl Fn(ClassId) -> bool) -> Assignment {
     let mut slots = old.to_vec();
-    let mut learned: Vec<Option<ClassId>> = (0..old.len()).map(Some).collect();
+    let mut inherited: Vec<Option<ClassId>> = (0..old.len()).map(Some).collect();
     let mut taken = vec![false; old.len()];
-    let mut numbers: Vec<Option<ClassId>> = vec![None; wanted.len()];
-    let named = |name: &str| old.iter().position(|slot| slot.name == name);
-    // As it was; then under its name with another definition; then any that is free.
-    for (want, number) in wanted.iter().zip(&mut numbers) {
-        *number = (0..old.len()).find(|&at| !taken[at] && old[at] == *want);
-        number.iter().for_each(|&at| taken[at] = true);
+    let mut class_ids: Vec<Option<ClassId>> = vec![None; wanted.len()];
+    let old_id = |name: &str| old.iter().position(|slot| slot.name == name);
+    // Preference: an identical slot, then a free slot of the same name, then any free slot.
+    for (want, class_id) in wanted.iter().zip(&mut class_ids) {
+        *class_id = (0..old.len()).find(|&at| !taken[at] && old[at] == *want);
+        class_id.iter().for_each(|&at| taken[at] = true);
     }
     for by_name in [true, false] {
-        for (want, number) in wanted.iter().zip(&mut numbers).filter(|(_, n)| n.is_none()) {
+        for (want, class_id) in wanted.iter().zip(&mut class_ids).filter(|(_, n)| n.is_none()) {
             let fits = |at: &usize| !taken[*at] && !in_use(*at) && (!by_name || old[*at].name == want.name);
             let Some(at) = (0..old.len()).find(fits) else { continue };
-            (taken[at], *number) = (true, Some(at));
-            (slots[at], learned[at]) = (want.clone(), named(&want.name));
+            (taken[at], *class_id) = (true, Some(at));
+            (slots[at], inherited[at]) = (want.clone(), old_id(&want.name));
         }
     }
-    let numbers = wanted.iter().zip(numbers).map(|(want, number)| {
-        number.unwrap_or_else(|| {
+    let class_ids = wanted.iter().zip(class_ids).map(|(want, class_id)| {
+        class_id.unwrap_or_else(|| {
             slots.push(want.clone());
-            learned.push(named(&want.name));
+            inherited.push(old_id(&want.name));
             taken.push(true);
             slots.len() - 1
         })
     });
-    let numbers = numbers.collect();
+    let class_ids = class_ids.collect();
     while slots.len() > 1 && !taken[slots.len() - 1] && !in_use(slots.len() - 1) {
         slots.pop();
-        learned.pop();
+        inherited.pop();
     }
-    Assignment { slots, inherited: learned, class_ids: numbers }
+    Assignment { slots, inherited, class_ids }
 }
 
 #[cfg(test)]
@@ -82,7 +82,7 @@
     const SAFE: Effect = Effect::Safe;
 
     #[test]
-    fn what_stays_keeps_its_number_whatever_the_order() {
+    fn unchanged_classes_keep_their_ids_in_any_order() {
         let (a, b, c) = (slot("a", SAFE, 1), slot("b", SAFE, 1), slot("c", SAFE, 1));
         let got = assign(&[a.clone(), b.clone()], &[c.clone(), b.clone(), a.clone()], |_| true);
         assert_eq!((got.class_ids, got.inherited), (vec![2, 1, 0], vec![Some(0), Some(1), None]));
@@ -90,22 +90,22 @@
     }
 
     #[test]
-    fn a_class_with_open_requests_is_never_changed_under_them() {
+    fn a_class_in_use_is_not_redefined() {
         let (old, new) = (slot("pay", SAFE, 1), slot("pay", Effect::Unsafe, 1));
         let got = assign(std::slice::from_ref(&old), std::slice::from_ref(&new), |at| at == 0);
         assert_eq!(got.slots, [old.clone(), new.clone()]);
-        // It begins with what the old one learned.
+        // The new slot inherits what the old one learned.
         assert_eq!((got.class_ids, got.inherited), (vec![1], vec![Some(0), Some(0)]));
-        // And with none open the number is used again.
+        // Without open requests the class id is reused.
         let got = assign(&[old], std::slice::from_ref(&new), |_| false);
         assert_eq!((got.slots, got.class_ids, got.inherited), (vec![new], vec![0], vec![Some(0)]));
     }
 
     #[test]
-    fn slots_do_not_pile_up() {
+    fn repeated_changes_do_not_accumulate_slots() {
         let mut slots = vec![slot("a", SAFE, 0)];
         for round in 1..1000 {
-            // The class that was there last still has a request open each time.
+            // A request of the most recent definition is still open at each change.
             let last = slots.len() - 1;
             let got = assign(&slots, &[slot("a", SAFE, round)], |at| at == last);
             assert!(got.slots.len() <= 2, "{}", got.slots.len());
--- a/engine/src/types.rs
+++ b/engine/src/types.rs
@@ -1,77 +1,77 @@
-//! What passes between the engine, its callers and the sources of lists.
+//! Types that the engine shares with its callers and with sources of upstream lists.
 
 use std::net::SocketAddr;
 
 use finchshift as fs;
 use finchshift::{Micros, ServerId};
 
-/// An upstream and where it is.
+/// An upstream to send to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Target {
-    /// Its number.
+    /// The id of the upstream.
     pub server: ServerId,
-    /// Its address, from the newest list.
+    /// The address of the upstream in the latest list.
     pub address: SocketAddr,
 }
 
-/// An entry of a list, as discovery words it.
+/// An upstream as described by a discovery source.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoveryEntry {
-    /// The same at every balancer.
+    /// The instance name, which is the same at every balancer.
     pub instance: String,
-    /// Its address at this balancer.
+    /// The address under which this balancer reaches the upstream.
     pub address: SocketAddr,
-    /// Its zone's name.
+    /// The name of its zone.
     pub zone: String,
-    /// Its machine kind's name.
+    /// The name of its machine kind.
     pub kind: String,
-    /// Its cell.
+    /// The cell of the upstream: a small group of servers that deduplicate repeated requests among themselves.
     pub cell: u32,
-    /// What discovery says of it.
+    /// The state that discovery reports.
     pub state: fs::ServerState,
-    /// Its size.
+    /// The relative capacity of the upstream.
     pub weight: f64,
-    /// When it last started, in Unix time.
+    /// When the upstream last started, in Unix time, if known.
     pub started: Option<Micros>,
 }
 
 /// Why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Failure {
-    /// The time ran out.
+    /// The client's deadline passed.
     DeadlineExceeded,
-    /// An upstream failed.
+    /// The last attempt failed at an upstream.
     Upstream,
 }
 
-/// The one final answer to a request.
+/// The final answer to a request.
 #[derive(Debug, PartialEq)]
 pub enum Answer<R> {
-    /// An upstream's answer.
+    /// The reply of an upstream.
     Served(R),
-    /// Trying again is harmless.
+    /// The request was not executed, and a retry is safe.
     Refused {
-        /// How long the client should stay away; 0 for no wish.
+        /// How long the client should wait before a retry; 0 if unspecified.
         retry_after: Micros,
     },
-    /// No promise.
+    /// The request failed. It may have been executed.
     Failed(Failure),
 }
 
-/// A request as the engine takes it.
+/// A request to be submitted to the engine.
 pub struct NewRequest<C> {
-    /// Its class.
+    /// The class of the request.
     pub class: fs::ClassId,
-    /// How long its client waits, from now.
+    /// How long the client waits, from now or from the last byte of a streamed body.
     pub time_left: Micros,
-    /// Whose it is.
+    /// The tenant that the request belongs to, if any.
     pub tenant: Option<fs::TenantId>,
-    /// A guess at its work.
+    /// Estimated processing time at an upstream, if known.
     pub work: Option<Micros>,
-    /// Its client marks it as a repeat.
+    /// Whether the client marked the request as a retry.
     pub retry: bool,
-    /// The operation that it runs, where that is known.
+    /// The operation that the request runs, if known.
     pub operation: Option<u64>,
-    /// What goes on to upstreams.
+    /// The call to send to an upstream.
     pub call: C,
 }
--- a/routing/src/analysis.rs
+++ b/routing/src/analysis.rs
@@ -15,7 +15,7 @@
     Shadowed(usize, BTreeSet<usize>),
 }
 
-/// Returns all findings, sorted and absent duplicates.
+/// Returns all findings, sorted and without duplicates.
 pub fn analyze(routes: &[Route]) -> Vec<Finding> {
     let mut found = BTreeSet::new();
     for (at, route) in routes.iter().enumerate() {
