--- a/engine/src/core.rs
+++ b/engine/src/core.rs
@@ -1,7 +1,7 @@
-//! The state machine of one balancer between its callers and its upstreams: open requests, attempts, timers, the list of
-//! upstreams and the decision module [`finchshift`]. It does no I/O and has no clock. Inputs are method calls that pass
-//! the current time; outputs are [`Output`]s, to be carried out in order. The daemon drives it from sockets, the emulator
-//! from its event queue.
+//! The state machine of one balancer between its callers and its upstreams: open requests, attempts, timers, the list
+//! of upstreams and the decision module [`finchshift`]. It does no I/O and has no clock. Inputs are method calls that
+//! pass the current time; outputs are [`Output`]s, to be carried out in order. The daemon drives it from sockets, the
+//! emulator from its event queue.
 //!
 //! `R` is the type of an upstream's reply; the core passes replies through without looking into them.
 
@@ -122,8 +122,8 @@
     attempts: u32,
     /// Attempts that have not ended.
     in_flight: Vec<InFlight>,
-    /// Attempt numbers and timeouts of attempts that started before the last byte of the body. Their timers are set when
-    /// the body is complete.
+    /// Attempt numbers and timeouts of attempts that started before the last byte of the body. Their timers are set
+    /// when the body is complete.
     deferred_timeouts: Vec<(u32, Micros)>,
     /// The reason to report if the request fails now.
     failure: Failure,
@@ -290,7 +290,8 @@
 }
 
 impl<R> Core<R> {
-    /// Creates a balancer. `zones` maps the zone names to the numbers that `settings` use; `seed` makes runs repeatable.
+    /// Creates a balancer. `zones` maps the zone names to the numbers that `settings` use; `seed` makes runs
+    /// repeatable.
     pub fn new(settings: fs::Settings, zones: &NameTable, seed: u64) -> Result<Core<R>, String> {
         let (limits, warm_up_time) = (settings.limits.clone(), settings.rules.warm_up_time);
         let balancer = fs::Balancer::new(settings, seed).map_err(|e| e.to_string())?;
@@ -396,23 +397,25 @@
         (stages, oldest.into_iter().filter_map(status).collect())
     }
 
-    /// Whether an upstream is listed or was listed before.
+    /// Whether an upstream is listed, was listed before, or is in maintenance.
     pub fn ever_listed(&self, instance: &str) -> bool {
         self.registry.ever_listed(instance)
     }
 
-    /// The id of a listed upstream. An id is never reused for another upstream, even after the upstream has left the list.
+    /// The id of a listed upstream. An id is never reused for another upstream, even after the upstream has left the
+    /// list.
     pub fn server_id(&self, instance: &str) -> Option<ServerId> {
         self.registry.server_id(instance)
     }
 
     /// Number of attempts in flight to an upstream.
     pub fn attempts_to(&self, server: ServerId) -> usize {
-        self.open.values().flat_map(|open| &open.in_flight).filter(|out| out.server == server).count()
+        self.open.values().flat_map(|open| &open.in_flight).filter(|sent| sent.server == server).count()
     }
 
-    /// Replaces the settings and keeps the learned state, see [`fs::Balancer::reconfigure`]. The balancer's zone must keep
-    /// its number, and a class that is in use, see [`class_in_use`](Core::class_in_use), must keep its number and effect.
+    /// Replaces the settings and keeps the learned state, see [`fs::Balancer::reconfigure`]. The balancer's zone must
+    /// keep its number, and a class that is in use, see [`class_in_use`](Core::class_in_use), must keep its number
+    /// and effect.
     pub fn reconfigure(
         &mut self,
         settings: fs::Settings,
@@ -424,20 +427,20 @@
         Ok(())
     }
 
-    /// From now on, a request that fails although certainly no attempt ran is answered as refused, which tells the client
-    /// that a retry is safe.
+    /// From now on, a request that fails although certainly no attempt ran is answered as refused, which tells the
+    /// client that a retry is safe.
     pub fn refuse_unsent(&mut self) {
         self.refuse_unsent = true;
     }
 
-    /// From now on, attempts are aborted when their caller disconnects, even while cancellation is disabled: nobody waits
-    /// for the result, and an attempt that is still queued on the way must not reach its upstream.
+    /// From now on, attempts are aborted when their caller disconnects, even while cancellation is disabled: nobody
+    /// waits for the result, and an attempt that is still queued on the way must not reach its upstream.
     pub fn cancel_on_disconnect(&mut self) {
         self.cancel_on_disconnect = true;
     }
 
-    /// Enables or disables the cancellation of attempts before the client's deadline, by timeout or by the decision module.
-    /// While it is disabled, an upstream that is processing an attempt has until the client's deadline.
+    /// Enables or disables the cancellation of attempts before the client's deadline, by timeout or by the decision
+    /// module. While it is disabled, an upstream that is processing an attempt has until the client's deadline.
     pub fn set_cancellation(&mut self, enabled: bool) {
         self.cancellation_disabled = !enabled;
     }
@@ -471,9 +474,9 @@
         id
     }
 
-    /// From now on, no request of an operation is retried once one of its attempts may have run, whatever its class allows.
-    /// Requests of the operation that are waiting between two such attempts fail at once. An attempt in flight that may
-    /// have run is the last one of its request.
+    /// From now on, no request of an operation is retried once one of its attempts may have run, whatever its class
+    /// allows. Requests of the operation that are waiting between two such attempts fail at once. An attempt in
+    /// flight that may have run is the last one of its request.
     pub fn forbid_retry(&mut self, now: Micros, operation: u64) {
         self.retry_forbidden.insert(operation);
         let between = |o: &OpenRequest<R>| {
@@ -489,7 +492,8 @@
         }
     }
 
-    /// Whether the request must not be retried: an attempt may have run and [`Core::forbid_retry`] names its operation.
+    /// Whether the request must not be retried: an attempt may have run and [`Core::forbid_retry`] names its
+    /// operation.
     fn must_not_retry(&self, open: &OpenRequest<R>) -> bool {
         open.may_have_run && open.operation.is_some_and(|operation| self.retry_forbidden.contains(&operation))
     }
@@ -500,7 +504,7 @@
         let disconnected = std::mem::replace(&mut open.awaiting_answer, false);
         // An incomplete body can never be completed, and no timeout would end its attempt.
         let abort = open.body_pending || disconnected && self.cancel_on_disconnect;
-        let aborted: Vec<u32> = open.in_flight.iter().filter(|_| abort).map(|out| out.attempt).collect();
+        let aborted: Vec<u32> = open.in_flight.iter().filter(|_| abort).map(|sent| sent.attempt).collect();
         if disconnected {
             self.handle_event(now, Event::ClientGone { request: id });
         }
@@ -510,12 +514,13 @@
         self.remove_if_settled(id);
     }
 
-    /// The last byte of a streamed request body has arrived. The time limits of the request and its attempts start now.
+    /// The last byte of a streamed request body has arrived. The time limits of the request and its attempts start
+    /// now.
     pub fn body_received(&mut self, now: Micros, id: RequestId) {
         let Some(open) = self.open.get_mut(&id).filter(|o| o.body_pending) else { return };
         open.body_pending = false;
         open.deadline = now + open.time_left;
-        open.in_flight.iter_mut().for_each(|out| out.started_at = now);
+        open.in_flight.iter_mut().for_each(|sent| sent.started_at = now);
         let fallback_at = open.deadline.saturating_sub(FALLBACK_MARGIN_US);
         for (attempt, timeout) in std::mem::take(&mut open.deferred_timeouts) {
             self.set_timer(now + timeout, Timer::Attempt(id, attempt));
@@ -523,14 +528,14 @@
         self.set_timer(fallback_at, Timer::Fallback(id));
     }
 
-    /// The start of a streamed response has arrived and is delivered to the caller now. The end of the attempt is reported
-    /// as usual. If the caller has disconnected, the reply is returned: dropping it may end the attempt, and the end must
-    /// not be reported while the core is borrowed.
+    /// The start of a streamed response has arrived and is delivered to the caller now. The end of the attempt is
+    /// reported as usual. If the caller has disconnected, the reply is returned: dropping it may end the attempt, and
+    /// the end must not be reported while the core is borrowed.
     #[must_use]
     pub fn response_started(&mut self, now: Micros, id: RequestId, attempt: u32, reply: R) -> Option<R> {
         let Some(open) = self.open.get_mut(&id) else { return Some(reply) };
-        let Some(out) = open.in_flight.iter_mut().find(|o| o.attempt == attempt) else { return Some(reply) };
-        out.response_started = true;
+        let Some(sent) = open.in_flight.iter_mut().find(|o| o.attempt == attempt) else { return Some(reply) };
+        sent.response_started = true;
         if !std::mem::replace(&mut open.awaiting_answer, false) {
             return Some(reply);
         }
@@ -544,7 +549,7 @@
         let AttemptEnd { outcome, load, reply, body_consumed } = end;
         let Some(open) = self.open.get_mut(&id) else { return };
         let Some(at) = open.in_flight.iter().position(|o| o.attempt == attempt) else { return };
-        let out = open.in_flight.swap_remove(at);
+        let sent = open.in_flight.swap_remove(at);
         open.deferred_timeouts.retain(|(a, _)| *a != attempt);
         open.may_have_run |= outcome != Outcome::Ok && !outcome.never_ran();
         let timed_out = matches!(outcome, Outcome::TimedOut | Outcome::Cancelled);
@@ -556,8 +561,8 @@
         let answer = match (outcome, reply) {
             (Outcome::Ok, Some(reply)) => Some(Answer::Served(reply)),
             (outcome, _) if outcome != Outcome::Ok && must_not_retry => Some(Answer::Failed(open.failure)),
-            // The consumed body cannot be sent again, so no other attempt can follow. Earlier attempts cannot have run:
-            // any that may have run would have been the last one.
+            // The consumed body cannot be sent again, so no other attempt can follow. Earlier attempts cannot have
+            // run: any that may have run would have been the last one.
             (outcome, _) if body_consumed && outcome != Outcome::Ok => Some(match outcome.never_ran() {
                 true => Answer::Refused { retry_after: 0 },
                 false => Answer::Failed(open.failure),
@@ -568,8 +573,8 @@
             self.outputs.push_back(Output::Answer { request: id, answer });
         }
         let closed = !self.open.get(&id).is_some_and(|o| o.awaiting_answer);
-        let latency = now.saturating_sub(out.started_at);
-        let server = out.server;
+        let latency = now.saturating_sub(sent.started_at);
+        let server = sent.server;
         if heard!(ATTEMPT_ENDED) {
             let (name, millis) = (self.registry.name(server).unwrap_or_default(), latency / 1000);
             note!(ATTEMPT_ENDED, upstream = %name, request = %id, attempt = %attempt,
@@ -583,8 +588,8 @@
         self.remove_if_settled(id);
     }
 
-    /// An attempt was aborted as [`Output::Abort`] requested. If its request was never written, it cannot have run, and the
-    /// outcome says so.
+    /// An attempt was aborted as [`Output::Abort`] requested. If its request was never written, it cannot have run,
+    /// and the outcome says so.
     pub fn attempt_aborted(
         &mut self,
         now: Micros,
@@ -601,8 +606,8 @@
         self.attempt_ended(now, id, attempt, outcome.into());
     }
 
-    /// Fails a request that is still unanswered just before its client's deadline. Guards against a defect in the decision
-    /// module.
+    /// Fails a request that is still unanswered just before its client's deadline. Guards against a defect in the
+    /// decision module.
     fn answer_fallback(&mut self, now: Micros, id: RequestId) {
         let Some(open) = self.open.get_mut(&id) else { return };
         // The body is still being received, or its last byte arrived so late that the request has time left.
@@ -629,27 +634,28 @@
         }
     }
 
-    /// Issues an abort for an attempt in flight, unless one was issued before. An attempt whose response has started does
-    /// not time out.
+    /// Issues an abort for an attempt in flight, unless one was issued before. An attempt whose response has started
+    /// does not time out.
     pub(crate) fn abort_attempt(&mut self, id: RequestId, attempt: u32, outcome: Outcome) {
         let found =
             self.open.get_mut(&id).and_then(|o| o.in_flight.iter_mut().find(|o| o.attempt == attempt));
         let found = found.filter(|o| !(o.aborting || o.response_started && outcome == Outcome::TimedOut));
-        if let Some(out) = found {
-            out.aborting = true;
+        if let Some(sent) = found {
+            sent.aborting = true;
             self.outputs.push_back(Output::Abort { request: id, attempt, outcome });
         }
     }
 
     // The list of upstreams.
 
-    /// Starts the decision module without a stored list. The module requests a list from discovery only when it handles an
-    /// event, so it needs this first one.
+    /// Starts the decision module without a stored list. The module requests a list from discovery only when it
+    /// handles an event, so it needs this first one.
     pub fn start(&mut self, now: Micros) {
         self.handle_event(now, Event::Servers { kind: ListKind::Stale, entries: Vec::new() });
     }
 
-    /// Applies a list of upstreams or changes to it. Idle connections to upstreams that moved or were removed are closed.
+    /// Applies a list of upstreams or changes to it. Idle connections to upstreams that moved or were removed are
+    /// closed.
     pub fn update_list(&mut self, now: Micros, kind: ListKind, listed: &[DiscoveryEntry]) {
         let (entries, moved) = self.registry.apply_list(kind, listed);
         self.outputs.extend(moved.into_iter().map(|server| Output::CloseIdle { server }));
@@ -665,34 +671,35 @@
         self.apply_maintenance(now, entries)
     }
 
-    /// Puts an upstream into maintenance on behalf of another process, which knows the upstream, even if it was never listed
-    /// here.
+    /// Puts an upstream into maintenance on behalf of another process, which knows the upstream, even if it was never
+    /// listed here.
     pub fn replicate_maintenance(&mut self, now: Micros, instance: &str) {
         let entries = self.registry.replicate_maintenance(instance);
         self.apply_maintenance(now, Some(entries));
     }
 
-    /// Takes an upstream out of maintenance. It counts as just started until the list has a new start time for it. Returns
-    /// false for an upstream that was never listed.
+    /// Takes an upstream out of maintenance. Unless the list has a new start time for the upstream, it counts as
+    /// started now. Returns false for an upstream that was never listed.
     pub fn exit_maintenance(&mut self, now: Micros, instance: &str) -> bool {
         let entries = self.registry.exit_maintenance(instance, now);
         self.apply_maintenance(now, entries)
     }
 
-    /// Upstreams that left maintenance and whose restart the list has not confirmed: the instance, the start time in the
-    /// list, and the time from which the upstream counts as started. For
+    /// Upstreams that left maintenance and whose restart the list has not confirmed: the instance, the start time in
+    /// the list, and the time from which the upstream counts as started. For
     /// [`import_unconfirmed_restarts`](Core::import_unconfirmed_restarts) of another process.
     pub fn unconfirmed_restarts(&self) -> Vec<(String, Option<Micros>, Micros)> {
         self.registry.unconfirmed_restarts()
     }
 
-    /// Adds the [`unconfirmed_restarts`](Core::unconfirmed_restarts) of another process. Call this before applying the list
-    /// of that process.
+    /// Adds the [`unconfirmed_restarts`](Core::unconfirmed_restarts) of another process. Call this before applying
+    /// the list of that process.
     pub fn import_unconfirmed_restarts(&mut self, restarts: Vec<(String, Option<Micros>, Micros)>) {
         self.registry.import_unconfirmed_restarts(restarts);
     }
 
-    /// Cold upstreams: the instance, the current share of its capacity, and how often the decision module passed it over.
+    /// Cold upstreams: the instance, the current share of its capacity, and how often the decision module passed it
+    /// over.
     pub fn cold_upstreams(&self, now: Micros) -> Vec<(String, f64, u64)> {
         let named = |(id, share, passed_over): (ServerId, f64, u64)| {
             Some((self.registry.name(id)?.to_owned(), share, passed_over))
@@ -700,8 +707,8 @@
         self.balancer.cold_servers(now).into_iter().filter_map(named).collect()
     }
 
-    /// Logs upstreams that a list newly reports as cold. Called before the decision module gets the list, as it may send
-    /// requests to them at once.
+    /// Logs upstreams that a list newly reports as cold. Called before the decision module gets the list, as it may
+    /// send requests to them at once.
     fn log_newly_cold(&mut self, now: Micros, entries: &[fs::ServerEntry]) {
         let mut names = Vec::new();
         for e in entries.iter().filter(|e| e.state == fs::ServerState::Ready) {
@@ -720,8 +727,8 @@
         log_cold(&names);
     }
 
-    /// Compares the cold upstreams with the decision module, at most once per [`COLD_CHECK_INTERVAL_US`]. Logs those that
-    /// are warm or gone now, and those that the module treats as cold although the list did not say so.
+    /// Compares the cold upstreams with the decision module, at most once per [`COLD_CHECK_INTERVAL_US`]. Logs those
+    /// that are warm or gone now, and those that the module treats as cold although the list did not say so.
     fn refresh_cold(&mut self, now: Micros) {
         if now < self.cold_checked_at.saturating_add(COLD_CHECK_INTERVAL_US) {
             return;
@@ -750,7 +757,9 @@
         }
     }
 
-    /// Applies the registry entries that a change of maintenance produced; false for `None`, an upstream never listed.
+    /// Passes entries that a maintenance change produced to the decision module, and closes idle connections to
+    /// upstreams that accept no requests. Returns false for `None`, which stands for an upstream that was never
+    /// listed.
     fn apply_maintenance(&mut self, now: Micros, entries: Option<Vec<fs::ServerEntry>>) -> bool {
         let Some(entries) = entries else { return false };
         if !entries.is_empty() {
@@ -769,15 +778,16 @@
 
     // Learned state.
 
-    /// The learned state of the decision module, to be imported by another process. The values of each zone are returned
-    /// separately, by zone name, as zone numbers differ between processes.
+    /// The learned state of the decision module, to be imported by another process. The values of each zone are
+    /// returned separately, by zone name, as zone numbers differ between processes.
     pub fn learned(&self) -> (fs::LearnedState, Vec<(String, Vec<f64>)>) {
         let mut learned = self.balancer.learned();
         let zones = std::mem::take(&mut learned.zones);
         (learned, self.by_zone_name(zones))
     }
 
-    /// Imports the [`learned`](Core::learned) state of another process. Call this after applying the list of that process.
+    /// Imports the [`learned`](Core::learned) state of another process. Call this after applying the list of that
+    /// process.
     pub fn import_learned(
         &mut self,
         now: Micros,
@@ -794,8 +804,8 @@
         self.by_zone_name(self.balancer.in_flight())
     }
 
-    /// Sets the number of attempts that another process of this balancer has in flight in each zone. Both processes share
-    /// the concurrency window of a zone.
+    /// Sets the number of attempts that another process of this balancer has in flight in each zone. Both processes
+    /// share the concurrency window of a zone.
     pub fn set_sibling_in_flight(&mut self, now: Micros, others: &[(String, f64)]) {
         let numbered = |(name, n): &(String, f64)| Some((self.registry.zone_number(name)?, *n));
         let others: Vec<_> = others.iter().filter_map(numbered).collect();
@@ -936,8 +946,8 @@
         self.remove_if_settled(id);
     }
 
-    /// Starts an attempt. An attempt that violates the limits of the settings is not sent; the decision module gets the
-    /// outcome [`Outcome::NotSent`].
+    /// Starts an attempt. An attempt that violates the limits of the settings is not sent; the decision module gets
+    /// the outcome [`Outcome::NotSent`].
     pub(crate) fn send_attempt(&mut self, now: Micros, id: RequestId, server: ServerId, limit: Micros) {
         let to = self.registry.target(server);
         if let Some(cold) = self.cold.get(&server).filter(|_| heard!(COLD_SENT)) {
--- a/engine/src/engine.rs
+++ b/engine/src/engine.rs
@@ -23,7 +23,8 @@
     type Reply;
     /// The handle of an attempt in flight.
     type Attempt;
-    /// Starts an attempt, which has `limit` to complete; the engine enforces it. The end is reported through `report`.
+    /// Starts an attempt, which has `limit` to complete; the engine enforces it. The end is reported through
+    /// `report`.
     fn send(
         &self,
         to: Target,
@@ -33,7 +34,8 @@
     ) -> Self::Attempt;
     /// Ends an attempt by closing its connection. Returns whether the upstream may have executed it.
     fn abort(&self, attempt: Self::Attempt) -> bool;
-    /// Whether the body of a call is still being received from the caller. Its time limit then starts with the last byte.
+    /// Whether the body of a call is still being received from the caller. Its time limit then starts with the last
+    /// byte.
     fn body_pending(&self, _call: &Self::Call) -> bool {
         false
     }
@@ -133,8 +135,8 @@
 }
 
 impl<W: Transport> ResponseStart<W> {
-    /// Delivers the reply to the caller now. The transport streams the rest and reports the end of the attempt as usual. If
-    /// the caller has disconnected, the reply is dropped.
+    /// Delivers the reply to the caller now. The transport streams the rest and reports the end of the attempt as
+    /// usual. If the caller has disconnected, the reply is dropped.
     pub fn begin(self, reply: W::Reply) {
         let ResponseStart { engine, request, attempt } = self;
         let undelivered = engine.with_core(|core, now| core.response_started(now, request, attempt, reply));
@@ -213,8 +215,8 @@
         result
     }
 
-    /// Executes the outputs of the core in order. Does nothing when called while an output is executed, so that an output
-    /// caused by another one is executed after those that are already queued.
+    /// Executes the outputs of the core in order. Does nothing when called while an output is executed, so that an
+    /// output caused by another one is executed after those that are already queued.
     fn process_outputs(self: &Rc<Self>) {
         if self.processing_outputs.replace(true) {
             return;
@@ -272,7 +274,7 @@
         }
     }
 
-    /// Removes and returns the handle of an attempt in flight.
+    /// Removes and returns the handle of an attempt in flight, and wakes the tasks that wait for an attempt to end.
     fn take_attempt(&self, request: RequestId, attempt: u32) -> Option<W::Attempt> {
         let mut requests = self.requests.borrow_mut();
         let attempts = &mut requests.get_mut(&request)?.attempts;
@@ -382,8 +384,8 @@
         self.core.borrow().requests(self.clock.now(), max)
     }
 
-    /// Waits until no attempt is in flight to an upstream. Passes the number of attempts in flight to `notify` at first and
-    /// whenever it changes. Returns at once for an upstream that is not listed.
+    /// Waits until no attempt is in flight to an upstream. Passes the number of attempts in flight to `notify` at
+    /// first and whenever it changes. Returns at once for an upstream that is not listed.
     pub async fn watch_in_flight(self: Rc<Self>, instance: &str, mut notify: impl FnMut(usize)) {
         let Some(server) = self.core.borrow().server_id(instance) else { return };
         let mut last = None;
--- a/engine/src/engine/tests.rs
+++ b/engine/src/engine/tests.rs
@@ -6,7 +6,8 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::Instant;
 
-/// A transport that stores the reports of sent attempts. The tests end the attempts and set what the other methods return.
+/// A transport that stores the reports of sent attempts. The tests end the attempts and set what the other methods
+/// return.
 #[derive(Clone, Default)]
 struct FakeTransport {
     /// Reports of the attempts that have been sent and not yet taken by the test.
@@ -101,7 +102,7 @@
         let engine = engine_with_upstream(&transport, effect);
         spawn_local(engine.clone().run());
         let ended = tokio::time::timeout(Duration::from_secs(60), test(transport, engine)).await;
-        assert!(ended.is_ok(), "the test waits for an event that never happens");
+        assert!(ended.is_ok(), "the test timed out");
     });
 }
 
@@ -277,8 +278,8 @@
     });
 }
 
-/// Requests of a safe class. Each row has the time at which retries of the operation are forbidden, the outcomes of the
-/// attempts and the expected answer.
+/// Requests of a safe class. Each row has the time at which retries of the operation are forbidden, the outcomes of
+/// the attempts and the expected answer.
 #[test]
 fn forbidding_retries_prevents_attempts_after_one_that_may_have_run() {
     use Outcome::{ConnectFailed, Ok, Reset};
@@ -340,8 +341,8 @@
     });
 }
 
-/// Answers many requests within a millisecond each, so that the decision module limits the next attempt to far less than
-/// the time left.
+/// Answers many requests within a millisecond each, so that the decision module limits the next attempt to far less
+/// than the time left.
 async fn train_latency(transport: &FakeTransport, engine: &Rc<Engine<FakeTransport>>) {
     for _ in 0..200 {
         let pending = engine.submit(request(4_000_000));
@@ -363,7 +364,8 @@
                 engine.set_cancellation(false);
             }
             tokio::time::sleep(Duration::from_millis(3900)).await;
-            // With cancellation enabled the attempt has timed out by now, after a small multiple of the usual millisecond.
+            // With cancellation enabled the attempt has timed out by now, after a small multiple of the usual
+            // millisecond.
             assert_eq!(transport.aborted.get(), u32::from(!disabled));
             report.end(Outcome::Ok, None, Some(9));
             let expected =
@@ -378,7 +380,8 @@
     run_test(async move |transport, engine| {
         transport.may_have_run.set(true);
         train_latency(&transport, &engine).await;
-        // No attempt runs while cancellation is disabled: a long one would make the decision module allow longer timeouts.
+        // No attempt runs while cancellation is disabled: a long one would make the decision module allow longer
+        // timeouts.
         engine.set_cancellation(false);
         engine.set_cancellation(true);
         let pending = engine.submit(request(4_000_000));
--- a/engine/src/registry.rs
+++ b/engine/src/registry.rs
@@ -7,8 +7,8 @@
 
 use crate::types::{DiscoveryEntry, Target};
 
-/// Assigns numbers to zone or machine kind names. A number is never reused: a stale reference to a removed name cannot
-/// refer to another one, and a name that returns starts without the old circuit breaker state and counters.
+/// Assigns numbers to zone or machine kind names. A number is never reused: a stale reference to a removed name
+/// cannot refer to another one, and a name that returns starts without the old circuit breaker state and counters.
 #[derive(Default)]
 struct NameNumbers {
     /// The number of each name in use.
@@ -17,7 +17,7 @@
     next: u32,
     /// How many upstreams use each number.
     uses: HashMap<u32, usize>,
-    /// NameNumbers below this one come from the settings and are kept even when no upstream uses them.
+    /// Numbers below this one come from the settings and are kept even when no upstream uses them.
     permanent_below: u32,
 }
 
@@ -34,7 +34,7 @@
     }
 
     /// Counts one more use of a number.
-    fn retain(&mut self, number: u32) {
+    fn acquire(&mut self, number: u32) {
         *self.uses.entry(number).or_default() += 1;
     }
 
@@ -122,17 +122,17 @@
 
     /// The listed upstreams, as last received from discovery.
     pub fn listed(&self) -> Vec<DiscoveryEntry> {
-        self.upstreams.values().map(|p| p.listed.clone()).collect()
+        self.upstreams.values().map(|u| u.listed.clone()).collect()
     }
 
-    /// Upstreams that left maintenance and whose restart the list has not confirmed: the instance, the start time in the
-    /// list, and the time from which the upstream counts as started.
+    /// Upstreams that left maintenance and whose restart the list has not confirmed: the instance, the start time in
+    /// the list, and the time from which the upstream counts as started.
     pub fn unconfirmed_restarts(&self) -> Vec<(String, Option<Micros>, Micros)> {
         self.unconfirmed.iter().map(|(name, r)| (name.clone(), r.listed, r.since)).collect()
     }
 
-    /// Adds the [`unconfirmed_restarts`](Registry::unconfirmed_restarts) of another process. Call this before applying the
-    /// list of that process.
+    /// Adds the [`unconfirmed_restarts`](Registry::unconfirmed_restarts) of another process. Call this before
+    /// applying the list of that process.
     pub fn import_unconfirmed_restarts(&mut self, restarts: Vec<(String, Option<Micros>, Micros)>) {
         let entries =
             restarts.into_iter().map(|(name, listed, since)| (name, UnconfirmedRestart { listed, since }));
@@ -144,8 +144,8 @@
         self.in_maintenance.contains_key(instance) || self.ever_listed.contains(&ring_hash(instance))
     }
 
-    /// Puts an upstream into maintenance: whatever lists say, it counts as draining. Returns the changed entries for the
-    /// decision module, or `None` for an instance that was never listed.
+    /// Puts an upstream into maintenance: whatever lists say, it counts as draining. Returns the changed entries for
+    /// the decision module, or `None` for an instance that was never listed.
     pub fn enter_maintenance(&mut self, instance: &str) -> Option<Vec<fs::ServerEntry>> {
         if !self.ever_listed(instance) {
             return None;
@@ -153,25 +153,25 @@
         Some(self.replicate_maintenance(instance))
     }
 
-    /// Puts an upstream that another process knows into maintenance, listed here or not. Returns the changed entries for
-    /// the decision module.
+    /// Puts an upstream that another process knows into maintenance, listed here or not. Returns the changed entries
+    /// for the decision module.
     pub fn replicate_maintenance(&mut self, instance: &str) -> Vec<fs::ServerEntry> {
         let started =
-            self.servers.get(instance).and_then(|id| self.upstreams.get(id)).map(|p| p.listed.started);
+            self.servers.get(instance).and_then(|id| self.upstreams.get(id)).map(|u| u.listed.started);
         self.in_maintenance.entry(instance.to_owned()).or_insert(started);
         self.refreshed_entry(instance)
     }
 
-    /// Takes an upstream out of maintenance. Returns the changed entries for the decision module, or `None` for an instance
-    /// that was never listed. The upstream was presumably restarted meanwhile: unless the list has a new start time, it
-    /// counts as started now, so that a late list does not expose a cold upstream to full load.
+    /// Takes an upstream out of maintenance. Returns the changed entries for the decision module, or `None` for an
+    /// instance that was never listed. The upstream was presumably restarted meanwhile: unless the list has a new
+    /// start time, it counts as started now, so that a late list does not expose a cold upstream to full load.
     pub fn exit_maintenance(&mut self, instance: &str, now: Micros) -> Option<Vec<fs::ServerEntry>> {
         if !self.ever_listed(instance) {
             return None;
         }
         let Some(before) = self.in_maintenance.remove(instance) else { return Some(Vec::new()) };
         let listed_now =
-            self.servers.get(instance).and_then(|id| self.upstreams.get(id)).map(|p| p.listed.started);
+            self.servers.get(instance).and_then(|id| self.upstreams.get(id)).map(|u| u.listed.started);
         if let Some(listed) = listed_now.or(before)
             && before.is_none_or(|b| b == listed)
         {
@@ -183,7 +183,7 @@
     /// Recomputes the entry of a listed upstream after its maintenance state changed. Empty if it is not listed.
     fn refreshed_entry(&mut self, instance: &str) -> Vec<fs::ServerEntry> {
         let id = self.servers.get(instance).copied();
-        let Some(listed) = id.and_then(|id| self.upstreams.get(&id)).map(|p| p.listed.clone()) else {
+        let Some(listed) = id.and_then(|id| self.upstreams.get(&id)).map(|u| u.listed.clone()) else {
             return Vec::new();
         };
         self.apply_list(ListKind::Changes, &[listed]).0
@@ -218,7 +218,7 @@
 
     /// The instance name of a listed upstream.
     pub fn name(&self, server: ServerId) -> Option<&str> {
-        self.upstreams.get(&server).map(|p| p.listed.instance.as_str())
+        self.upstreams.get(&server).map(|u| u.listed.instance.as_str())
     }
 
     /// The name of the zone with a number.
@@ -254,8 +254,8 @@
     /// Inserts or replaces an upstream and updates the counts. Returns the replaced one.
     fn insert(&mut self, id: ServerId, upstream: Upstream) -> Option<Upstream> {
         // The new uses are counted first, so that a zone or kind that stays the same is not released in between.
-        self.zones.retain(upstream.zone);
-        self.kinds.retain(upstream.kind);
+        self.zones.acquire(upstream.zone);
+        self.kinds.acquire(upstream.kind);
         self.ready += usize::from(upstream.state == ServerState::Ready);
         let before = self.upstreams.insert(id, upstream);
         before.iter().for_each(|b| self.uncount(b));
@@ -276,8 +276,9 @@
         self.ready -= usize::from(upstream.state == ServerState::Ready);
     }
 
-    /// Applies a list or changes to it. Returns the entries for the decision module, and the ids of upstreams that moved to
-    /// another address or were removed. The cost of changes is proportional to their number, not to the size of the list.
+    /// Applies a list or changes to it. Returns the entries for the decision module, and the ids of upstreams that
+    /// moved to another address or were removed. The cost of changes is proportional to their number, not to the size
+    /// of the list.
     pub fn apply_list(
         &mut self,
         kind: ListKind,
@@ -315,7 +316,8 @@
                 zone,
                 kind,
                 cell: l.cell,
-                // Hashed from the instance: its address may differ between balancers, but its position on the ring must not.
+                // Hashed from the instance: its address may differ between balancers, but its position on the ring
+                // must not.
                 ring_hash: ring_hash(&l.instance),
                 state,
                 weight: if l.weight.is_finite() && l.weight > 0.0 { l.weight } else { 1.0 },
@@ -476,7 +478,8 @@
             state(registry.apply_list(ListKind::Changes, &[entry(READY, Some(60))]).0),
             [(READY, Some(60))]
         );
-        // A new start time that was listed during the maintenance is used, and leaving maintenance twice changes nothing.
+        // A new start time that was listed during the maintenance is used, and leaving maintenance twice changes
+        // nothing.
         registry.enter_maintenance("a").expect("listed");
         registry.apply_list(ListKind::Changes, &[entry(READY, Some(90))]);
         assert_eq!(state(registry.exit_maintenance("a", 99).expect("listed")), [(READY, Some(90))]);
@@ -521,7 +524,8 @@
         let (entries, _) = new.apply_list(ListKind::Complete, &old.listed());
         assert_eq!((entries[0].state, entries[0].started_at), (READY, Some(70)));
         assert_eq!(new.apply_list(ListKind::Complete, &list(Some(60))).0[0].started_at, Some(60));
-        // Another process reports the maintenance before any list arrives; the upstream is listed and leaves it later.
+        // Another process reports the maintenance before any list arrives; the upstream is listed and leaves it
+        // later.
         let mut other = Registry::new(&NameTable::default());
         assert_eq!(other.replicate_maintenance("a"), Vec::new());
         assert_eq!(other.apply_list(ListKind::Complete, &list(Some(60))).0[0].state, ServerState::Draining);
--- a/engine/src/slots.rs
+++ b/engine/src/slots.rs
@@ -1,7 +1,8 @@
 //! Assigns class ids in a pool's decision module across configuration changes.
 //!
-//! A request keeps the class definition it arrived with. A definition that open requests use is never changed: the new
-//! definition of the class gets another id and inherits the learned latencies of the old one. Unused ids are reused.
+//! A request keeps the class definition it arrived with. A definition that open requests use is never changed: the
+//! new definition of the class gets another id and inherits the learned latencies of the old one. Unused ids are
+//! reused.
 
 use finchshift::{Class, ClassId};
 
--- a/limits/src/admission.rs
+++ b/limits/src/admission.rs
@@ -3,8 +3,8 @@
 //!
 //! The rate limit is a token bucket with one token per request. The bucket holds a tenth of a second's tokens, and at
 //! least one; a larger bucket would admit the bursts that the limit is meant to prevent. Each refused caller gets a
-//! retry delay that is one token later than that of the refusal before it, so that refused callers do not retry all at
-//! once. The queue of scheduled retries drains at the same rate.
+//! retry delay that is one token later than that of the refusal before it, so that refused callers do not retry all
+//! at once. The queue of scheduled retries drains at the same rate.
 
 use std::cell::Cell;
 
@@ -62,8 +62,8 @@
         self.refused.get()
     }
 
-    /// Admits or refuses a request while `open` requests are in progress. The error is the delay in microseconds after
-    /// which the caller may retry, or 0 where no delay can be estimated.
+    /// Admits or refuses a request while `open` requests are in progress. The error is the delay in microseconds
+    /// after which the caller may retry, or 0 where no delay can be estimated.
     pub fn admit(&self, now: u64, open: usize) -> Result<(), u64> {
         let admitted = self.check(now, open);
         self.offered.set(self.offered.get() + 1);
--- a/limits/src/lib.rs
+++ b/limits/src/lib.rs
@@ -1,9 +1,9 @@
 //! Divides a limited resource (file descriptors, open requests, bytes of memory) among several users.
 //!
 //! Each share has a guaranteed part that no other share can use, and may borrow from a common reserve. A share may
-//! borrow at most as much as the reserve has free afterwards. A single greedy share therefore leaves half of the reserve
-//! free, two leave a third, and so on. This is the dynamic threshold scheme with a factor of one (A. Choudhury, E.
-//! Hahne, "Dynamic Queue Length Thresholds for Shared-Memory Packet Switches", 1998).
+//! borrow at most as much as the reserve has free afterwards. A single greedy share therefore leaves half of the
+//! reserve free, two leave a third, and so on. This is the dynamic threshold scheme with a factor of one (A.
+//! Choudhury, E. Hahne, "Dynamic Queue Length Thresholds for Shared-Memory Packet Switches", 1998).
 
 pub mod admission;
 
@@ -94,8 +94,8 @@
         self.account(|| self.guaranteed.set(guaranteed));
     }
 
-    /// Allocates `amount` units, which are released when the permit is dropped. Returns `None` if the share may not have
-    /// that many more.
+    /// Allocates `amount` units, which are released when the permit is dropped. Returns `None` if the share may not
+    /// have that many more.
     pub fn acquire(self: &Rc<Self>, amount: usize) -> Option<Permit> {
         let used = self.used.get().checked_add(amount)?;
         let borrowed = used.saturating_sub(self.guaranteed.get());
@@ -136,8 +136,8 @@
     }
 }
 
-/// Divides `total` units by weights. Returns the guaranteed part of each share, at least `min` units each, and the size
-/// of the reserve. If `total` is too small for the minimum parts, the error is the number of units they need.
+/// Divides `total` units by weights. Returns the guaranteed part of each share, at least `min` units each, and the
+/// size of the reserve. If `total` is too small for the minimum parts, the error is the number of units they need.
 pub fn divide(total: usize, weights: &[f64], min: usize) -> Result<(Vec<usize>, usize), usize> {
     let needed = min.saturating_mul(weights.len());
     if needed > total {
--- a/routing/src/pattern.rs
+++ b/routing/src/pattern.rs
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Precedence among patterns that match the same host: the greater value is more specific. Of two subdomain patterns,
-    /// the longer name is more specific.
+    /// Precedence among patterns that match the same host: the greater value is more specific. Of two subdomain
+    /// patterns, the longer name is more specific.
     pub fn rank(&self) -> (u8, usize) {
         match self {
             HostPattern::Any => (0, 0),
@@ -164,9 +164,9 @@
         self.segments.iter().filter(|s| matches!(s, Segment::Parameter(_))).count()
     }
 
-    /// Compares two patterns that match the same path; the more specific one is greater. Segments are compared from the
-    /// left: a literal is more specific than a parameter, a parameter more than the end of the pattern, and an exact end
-    /// more than the end of a prefix.
+    /// Compares two patterns that match the same path; the more specific one is greater. Segments are compared from
+    /// the left: a literal is more specific than a parameter, a parameter more than the end of the pattern, and an
+    /// exact end more than the end of a prefix.
     pub fn compare_specificity(&self, other: &PathPattern) -> Ordering {
         let kind = |p: &PathPattern, at: usize| match p.segments.get(at) {
             Some(Segment::Literal(_)) => 3,
--- a/routing/src/split.rs
+++ b/routing/src/split.rs
@@ -1,8 +1,8 @@
 //! Distributes requests between pools by weight, identically at every instance.
 //!
-//! Weighted rendezvous hashing: each pool gets a score computed from the key and the pool's name, and the highest score
-//! wins. Two instances with the same configuration agree on every key, and raising a pool's weight only moves keys to
-//! that pool (C. Schindelhauer, G. Schomaker, "Weighted Distributed Hash Tables", 2005, logarithmic method).
+//! Weighted rendezvous hashing: each pool gets a score computed from the key and the pool's name, and the highest
+//! score wins. Two instances with the same configuration agree on every key, and raising a pool's weight only moves
+//! keys to that pool (C. Schindelhauer, G. Schomaker, "Weighted Distributed Hash Tables", 2005, logarithmic method).
 
 /// The required sum of the weights of a split, in percent.
 pub const TOTAL_WEIGHT: u32 = 100;
@@ -15,7 +15,8 @@
 }
 
 impl Split {
-    /// Creates a split between named targets. A target of weight 0 is never chosen; at least one weight must be positive.
+    /// Creates a split between named targets. A target of weight 0 is never chosen; at least one weight must be
+    /// positive.
     pub fn new<'a>(targets: impl IntoIterator<Item = (&'a str, u32)>) -> Split {
         Split {
             targets: targets
@@ -40,8 +41,8 @@
     }
 }
 
-/// Hashes bytes with FNV-1a and the splitmix64 finalizer. The result must stay the same across instances and versions,
-/// or instances would disagree on the target of a key.
+/// Hashes bytes with FNV-1a and the splitmix64 finalizer. The result must stay the same across instances and
+/// versions, or instances would disagree on the target of a key.
 pub fn hash(bytes: &[u8]) -> u64 {
     mix(bytes.iter().fold(0xcbf2_9ce4_8422_2325, |h, &b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)))
 }
--- a/routing/src/table.rs
+++ b/routing/src/table.rs
@@ -219,8 +219,9 @@
         self.first_match(&node.prefix)
     }
 
-    /// Returns the first route of a list whose method and conditions match. An ambiguous condition ends the search with an
-    /// error, so that a request cannot be routed as a safe operation here and executed as an unsafe one by the upstream.
+    /// Returns the first route of a list whose method and conditions match. An ambiguous condition ends the search
+    /// with an error, so that a request cannot be routed as a safe operation here and executed as an unsafe one by
+    /// the upstream.
     fn first_match(&mut self, list: &'a [usize]) -> Result<Option<usize>, ConditionSource> {
         for &at in list {
             let route = &self.routes[at];
--- a/routing/src/target.rs
+++ b/routing/src/target.rs
@@ -1,10 +1,10 @@
 //! Normalization of request targets. The normalized target is both matched against routes and forwarded.
 //!
-//! A path that two HTTP implementations may interpret differently is rejected, so that no operation can be reached under
-//! the class of another route. Forms that RFC 3986 section 6.2.2 calls equivalent (case of hexadecimal digits,
-//! percent-encoded unreserved characters) are normalized to one. Everything on which real servers disagree is rejected:
-//! dot segments, empty segments, path parameters (`;a=b`) and encoded delimiters (`%2F`, `%5C`, `%3B`, `%3F`, `%23`, or
-//! a double encoding such as `%252e`).
+//! A path that two HTTP implementations may interpret differently is rejected, so that no operation can be reached
+//! under the class of another route. Forms that RFC 3986 section 6.2.2 calls equivalent (case of hexadecimal digits,
+//! percent-encoded unreserved characters) are normalized to one. Everything on which real servers disagree is
+//! rejected: dot segments, empty segments, path parameters (`;a=b`) and encoded delimiters (`%2F`, `%5C`, `%3B`,
+//! `%3F`, `%23`, or a double encoding such as `%252e`).
 
 use std::fmt;
 
@@ -18,7 +18,8 @@
 pub enum TargetError {
     /// The target is neither `/path` nor `http://host/path`.
     UnsupportedForm,
-    /// The path contains a character that RFC 3986 section 3.3 does not allow there, or the target contains a fragment.
+    /// The path contains a character that RFC 3986 section 3.3 does not allow there, or the target contains a
+    /// fragment.
     InvalidCharacter,
     /// A `%` in the path is not followed by two hexadecimal digits.
     InvalidPercentEncoding,
@@ -81,7 +82,8 @@
     byte.is_ascii_alphanumeric() || b"-._~".contains(&byte)
 }
 
-/// Whether a character may stand unencoded in a path: `/`, or `pchar` without the percent sign (RFC 3986 section 3.3).
+/// Whether a character may stand unencoded in a path: `/`, or `pchar` without the percent sign (RFC 3986 section
+/// 3.3).
 fn is_path_char(byte: u8) -> bool {
     is_unreserved(byte) || b"!$&'()*+,=:@/".contains(&byte)
 }
@@ -152,7 +154,8 @@
         &self.text
     }
 
-    /// The segments of the path. A trailing slash is ignored, since servers disagree on whether it makes a different path.
+    /// The segments of the path. A trailing slash is ignored, since servers disagree on whether it makes a different
+    /// path.
     pub fn segments(&self) -> impl DoubleEndedIterator<Item = &str> + ExactSizeIterator {
         self.segments.iter().map(|&(from, to)| &self.text[from..to])
     }
@@ -183,7 +186,8 @@
 }
 
 impl Host {
-    /// Parses `name`, `name:port` or `[address]:port` (RFC 3986 section 3.2.2). User info and percent-encoding are rejected.
+    /// Parses `name`, `name:port` or `[address]:port` (RFC 3986 section 3.2.2). User info and percent-encoding are
+    /// rejected.
     pub fn parse(raw: &str) -> Result<Host, TargetError> {
         let (name, port) = match raw.strip_prefix('[') {
             Some(rest) => {
@@ -246,8 +250,8 @@
 }
 
 impl Target {
-    /// Parses a request target (RFC 9112 section 3.2) and the `Host` header. The host of an absolute target must equal the
-    /// `Host` header.
+    /// Parses a request target (RFC 9112 section 3.2) and the `Host` header. The host of an absolute target must
+    /// equal the `Host` header.
     pub fn parse(target: &str, host: Option<&str>) -> Result<Target, TargetError> {
         let host = host.map(Host::parse).transpose()?;
         let absolute = target.get(..7).is_some_and(|s| s.eq_ignore_ascii_case("http://"));
--- a/routing/tests/forms.rs
+++ b/routing/tests/forms.rs
@@ -1,5 +1,5 @@
-//! Randomized tests of target normalization: an accepted path has exactly one form and keeps its meaning however often
-//! it is decoded. `SLOELINE_SEED` sets the seed.
+//! Randomized tests of target normalization: an accepted path has exactly one form and keeps its meaning however
+//! often it is decoded. `SLOELINE_SEED` sets the seed.
 
 use sloeline_routing::target::{Host, Path, Target};
 
--- a/routing/tests/reference.rs
+++ b/routing/tests/reference.rs
@@ -1,5 +1,5 @@
-//! Compares the route table with a naive reference that checks all routes one by one and picks the greatest by pairwise
-//! comparison. Randomized; `SLOELINE_SEED` sets the seed.
+//! Compares the route table with a naive reference that checks all routes one by one and picks the greatest by
+//! pairwise comparison. Randomized; `SLOELINE_SEED` sets the seed.
 
 use std::cmp::Ordering;
 
