--- a/routing/src/target.rs
+++ b/routing/src/target.rs
@@ -241,7 +241,7 @@
 /// A normalized request target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// The host, or `None` if the request names none, as HTTP/1.0 allows.
+    /// The host, or `None` if the request names none, as versions before HTTP/1.1 allow.
     pub host: Option<Host>,
     /// The normalized path.
     pub path: Path,
