--- a/engine/src/core.rs
+++ b/engine/src/core.rs
@@ -253,7 +253,7 @@
 /// Minimum interval between checks for upstreams that have become warm, whose result is only logged.
 const COLD_CHECK_INTERVAL_US: Micros = 1_000_000;
 
-/// A cold upstream, started too recently to take its full share of requests, that has been logged.
+/// A cold upstream that has been logged: one that started too recently to get its full share of requests.
 struct ColdUpstream {
     /// The start time in the list; `None` if only the decision module treats the upstream as cold.
     started: Option<Micros>,
--- a/engine/src/registry.rs
+++ b/engine/src/registry.rs
@@ -195,7 +195,7 @@
             ServerState::Ready if self.in_maintenance.contains_key(&l.instance) => ServerState::Draining,
             other => other,
         };
-        let started = match self.unconfirmed.get(&l.instance) {
+        let started_at = match self.unconfirmed.get(&l.instance) {
             Some(restart) if restart.listed == l.started => Some(restart.since),
             Some(_) => {
                 self.unconfirmed.remove(&l.instance);
@@ -203,7 +203,7 @@
             }
             None => l.started,
         };
-        (state, started)
+        (state, started_at)
     }
 
     /// The id and address of an upstream, if it is listed.
@@ -294,7 +294,7 @@
             }
             let id = self.assign_id(&l.instance);
             let gone = l.state == ServerState::Gone;
-            let (state, started) = self.effective_state(l);
+            let (state, started_at) = self.effective_state(l);
             let (before, zone, kind) = if gone {
                 self.servers.remove(&l.instance);
                 self.unconfirmed.remove(&l.instance);
@@ -321,7 +321,7 @@
                 ring_hash: ring_hash(&l.instance),
                 state,
                 weight: if l.weight.is_finite() && l.weight > 0.0 { l.weight } else { 1.0 },
-                started_at: started,
+                started_at,
             });
         }
         if whole {
--- a/engine/src/slots.rs
+++ b/engine/src/slots.rs
@@ -67,6 +67,7 @@
     use super::*;
     use finchshift::Effect;
 
+    /// A slot whose class differs only in effect and deadline.
     fn slot(name: &str, effect: Effect, deadline: u64) -> ClassSlot {
         let class = Class {
             effect,
--- a/engine/src/types.rs
+++ b/engine/src/types.rs
@@ -38,9 +38,9 @@
 /// Why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Failure {
-    /// The client's deadline passed.
+    /// The request or its last attempt ran out of time.
     DeadlineExceeded,
-    /// The last attempt failed at an upstream.
+    /// The last attempt failed for another reason than time.
     Upstream,
 }
 
@@ -49,12 +49,12 @@
 pub enum Answer<R> {
     /// The reply of an upstream.
     Served(R),
-    /// The request was not executed, and a retry is safe.
+    /// A retry is safe: the request was not executed, or executing it again is harmless.
     Refused {
         /// How long the client should wait before a retry; 0 if unspecified.
         retry_after: Micros,
     },
-    /// The request failed. It may have been executed.
+    /// The request failed, and it may have been executed.
     Failed(Failure),
 }
 
--- a/routing/src/analysis.rs
+++ b/routing/src/analysis.rs
@@ -114,9 +114,9 @@
         return Some(BTreeSet::from([*other]));
     }
     // A route that requires a field and one that requires its absence together match every request.
-    let single_extra = |test: &Predicate| {
-        let test = test.clone();
-        preceding.iter().filter(move |(_, extra)| extra.len() == 1 && extra[0].predicate == test)
+    let single_extra = |predicate: &Predicate| {
+        let predicate = predicate.clone();
+        preceding.iter().filter(move |(_, extra)| extra.len() == 1 && extra[0].predicate == predicate)
     };
     for (a, extra) in single_extra(&Predicate::Present) {
         if let Some((b, _)) =
@@ -140,10 +140,11 @@
     use super::*;
     use crate::pattern::{ConditionSource, PathPattern};
 
+    /// A route for any host, with conditions on headers.
     fn route(methods: &[&str], path: &str, conditions: &[(&str, Predicate)]) -> Route {
-        let conditions = conditions.iter().map(|(name, test)| {
-            let place = ConditionSource::Header((*name).to_owned());
-            Condition { source: place, predicate: test.clone() }
+        let conditions = conditions.iter().map(|(name, predicate)| {
+            let source = ConditionSource::Header((*name).to_owned());
+            Condition { source, predicate: predicate.clone() }
         });
         Route {
             name: path.to_owned(),
@@ -154,6 +155,7 @@
         }
     }
 
+    /// The condition that a header has a value.
     fn equals(value: &str) -> Predicate {
         Predicate::Equals(value.to_owned())
     }
@@ -171,7 +173,7 @@
         ] {
             assert_eq!(analyze(&[get.clone(), other.clone()]), [], "{other:?}");
         }
-        let with_condition = |name, test| route(&["GET"], "/a", &[(name, test)]);
+        let with_condition = |name, predicate| route(&["GET"], "/a", &[(name, predicate)]);
         assert_eq!(analyze(&[with_condition("h", equals("1")), with_condition("h", equals("2"))]), []);
         assert_eq!(analyze(&[with_condition("h", equals("1")), with_condition("h", Predicate::Absent)]), []);
         assert_eq!(
--- a/routing/src/pattern.rs
+++ b/routing/src/pattern.rs
@@ -70,7 +70,7 @@
 pub enum Segment {
     /// A segment with exactly this normalized text.
     Literal(String),
-    /// Any single segment; the pattern refers to it by this name.
+    /// A parameter, which matches any single segment. Holds the name of the parameter.
     Parameter(String),
 }
 
--- a/routing/src/split.rs
+++ b/routing/src/split.rs
@@ -58,8 +58,10 @@
 mod tests {
     use super::*;
 
+    /// Number of keys that the tests distribute.
     const KEYS: u64 = 20_000;
 
+    /// The chosen target of each key.
     fn choices(split: &Split) -> Vec<usize> {
         (0..KEYS).map(|k| split.choose(hash(format!("client-{k}").as_bytes()))).collect()
     }
--- a/routing/src/target.rs
+++ b/routing/src/target.rs
@@ -308,7 +308,7 @@
     if pairs.len() > MAX_QUERY_PAIRS { Err(TargetError::InvalidQuery) } else { Ok(pairs) }
 }
 
-/// Decodes percent-encoded text; the result must be UTF-8.
+/// Decodes percent-encoded text. The result must be UTF-8, and unencoded control characters are an error.
 pub fn percent_decode(text: &str) -> Result<String, TargetError> {
     let bytes = text.as_bytes();
     let mut out = Vec::with_capacity(bytes.len());
--- a/routing/tests/reference.rs
+++ b/routing/tests/reference.rs
@@ -53,13 +53,13 @@
     }
     let conditions = (0..rng.usize(0..3)).map(|_| {
         let name = (rng.choice(["h", "i"]).unwrap()).to_owned();
-        let place = if rng.bool() { ConditionSource::Header(name) } else { ConditionSource::Query(name) };
-        let test = match rng.usize(0..4) {
+        let source = if rng.bool() { ConditionSource::Header(name) } else { ConditionSource::Query(name) };
+        let predicate = match rng.usize(0..4) {
             0 => Predicate::Present,
             1 => Predicate::Absent,
             n => Predicate::Equals(n.to_string()),
         };
-        Condition { source: place, predicate: test }
+        Condition { source, predicate }
     });
     Route {
         name: format!("r{number:05}"),
