--- a/engine/src/core.rs
+++ b/engine/src/core.rs
@@ -476,7 +476,7 @@
 
     /// From now on, no request of an operation is retried once one of its attempts may have run, whatever its class
     /// allows. Requests of the operation that are waiting between two such attempts fail at once. An attempt in
-    /// flight that may have run is the last one of its request.
+    /// flight is the last one of its request, unless it certainly never ran.
     pub fn forbid_retry(&mut self, now: Micros, operation: u64) {
         self.retry_forbidden.insert(operation);
         let between = |o: &OpenRequest<R>| {
--- a/engine/src/engine.rs
+++ b/engine/src/engine.rs
@@ -188,7 +188,8 @@
 }
 
 impl<W: Transport> Engine<W> {
-    /// Creates a balancer, see [`Core::new`]. Timers fire only while [`run`](Engine::run) is polled.
+    /// Creates a balancer that sends through `transport`. `zones` maps the zone names to the numbers that `settings` use;
+    /// `seed` makes runs repeatable. Timers fire only while [`run`](Engine::run) is polled.
     pub fn new(
         settings: fs::Settings,
         zones: &NameTable,
@@ -354,17 +355,17 @@
         &self.transport
     }
 
-    /// See [`Core::has_list`].
+    /// Whether a list of upstreams has arrived, be it a stored one from an earlier run.
     pub fn has_list(&self) -> bool {
         self.core.borrow().has_list()
     }
 
-    /// See [`Core::ready_upstreams`].
+    /// Number of listed upstreams that accept requests.
     pub fn ready_upstreams(&self) -> usize {
         self.core.borrow().ready_upstreams()
     }
 
-    /// See [`Core::open_requests`].
+    /// Number of open requests: unanswered, or with an attempt in flight.
     pub fn open_requests(&self) -> usize {
         self.core.borrow().open_requests()
     }
@@ -374,12 +375,12 @@
         self.clock.now()
     }
 
-    /// See [`Core::ever_listed`].
+    /// Whether an upstream is listed, was listed before, or is in maintenance.
     pub fn ever_listed(&self, instance: &str) -> bool {
         self.core.borrow().ever_listed(instance)
     }
 
-    /// See [`Core::requests`].
+    /// The number of open requests at each stage, and the status of the `max` oldest requests.
     pub fn requests(&self, max: usize) -> (BTreeMap<Stage, usize>, Vec<RequestStatus>) {
         self.core.borrow().requests(self.clock.now(), max)
     }
@@ -402,97 +403,116 @@
         }
     }
 
-    /// See [`Core::class_in_use`].
+    /// Whether a request of the class is open, so that the class must not be redefined.
     pub fn class_in_use(&self, class: fs::ClassId) -> bool {
         self.core.borrow().class_in_use(class)
     }
 
-    /// See [`Core::cold_upstreams`].
+    /// Cold upstreams: the instance, the current share of its capacity, and how often the decision module passed it
+    /// over.
     pub fn cold_upstreams(&self) -> Vec<(String, f64, u64)> {
         self.core.borrow().cold_upstreams(self.clock.now())
     }
 
-    /// See [`Core::current_list`].
+    /// The list of upstreams as last received, or `None` before the first list.
     pub fn current_list(&self) -> Option<Vec<DiscoveryEntry>> {
         self.core.borrow().current_list()
     }
 
-    /// See [`Core::reconfigure`].
+    /// Replaces the settings and keeps the learned state, see [`fs::Balancer::reconfigure`]. The balancer's zone must
+    /// keep its number, and a class that is in use, see [`class_in_use`](Engine::class_in_use), must keep its number
+    /// and effect.
     pub fn reconfigure(&self, settings: fs::Settings, learned: &[Option<fs::ClassId>]) -> Result<(), String> {
         self.core.borrow_mut().reconfigure(settings, learned)
     }
 
-    /// See [`Core::cancel_on_disconnect`].
+    /// From now on, attempts are aborted when their caller disconnects, even while cancellation is disabled: nobody
+    /// waits for the result, and an attempt that is still queued on the way must not reach its upstream.
     pub fn cancel_on_disconnect(&self) {
         self.core.borrow_mut().cancel_on_disconnect();
     }
 
-    /// See [`Core::refuse_unsent`].
+    /// From now on, a request that fails although certainly no attempt ran is answered as refused, which tells the
+    /// client that a retry is safe.
     pub fn refuse_unsent(&self) {
         self.core.borrow_mut().refuse_unsent();
     }
 
-    /// See [`Core::set_cancellation`].
+    /// Enables or disables the cancellation of attempts before the client's deadline, by timeout or by the decision
+    /// module. While it is disabled, an upstream that is processing an attempt has until the client's deadline.
     pub fn set_cancellation(&self, enabled: bool) {
         self.core.borrow_mut().set_cancellation(enabled);
     }
 
-    /// See [`Core::start`].
+    /// Starts the decision module without a stored list. The module requests a list from discovery only when it
+    /// handles an event, so it needs this first one.
     pub fn start(self: &Rc<Self>) {
         self.with_core(Core::start);
     }
 
-    /// See [`Core::update_list`].
+    /// Applies a list of upstreams or changes to it. Idle connections to upstreams that moved or were removed are
+    /// closed.
     pub fn update_list(self: &Rc<Self>, kind: ListKind, listed: Vec<DiscoveryEntry>) {
         self.with_core(|core, now| core.update_list(now, kind, &listed));
     }
 
-    /// See [`Core::enter_maintenance`].
+    /// Puts an upstream into maintenance: it gets no new requests, whatever lists say, until
+    /// [`exit_maintenance`](Engine::exit_maintenance). Returns false for an upstream that was never listed.
     pub fn enter_maintenance(self: &Rc<Self>, instance: &str) -> bool {
         self.with_core(|core, now| core.enter_maintenance(now, instance))
     }
 
-    /// See [`Core::replicate_maintenance`].
+    /// Puts an upstream into maintenance on behalf of another process, which knows the upstream, even if it was never
+    /// listed here.
     pub fn replicate_maintenance(self: &Rc<Self>, instance: &str) {
         self.with_core(|core, now| core.replicate_maintenance(now, instance));
     }
 
-    /// See [`Core::exit_maintenance`].
+    /// Takes an upstream out of maintenance. Unless the list has a new start time for the upstream, it counts as
+    /// started now. Returns false for an upstream that was never listed.
     pub fn exit_maintenance(self: &Rc<Self>, instance: &str) -> bool {
         self.with_core(|core, now| core.exit_maintenance(now, instance))
     }
 
-    /// See [`Core::unconfirmed_restarts`].
+    /// Upstreams that left maintenance and whose restart the list has not confirmed: the instance, the start time in
+    /// the list, and the time from which the upstream counts as started. For
+    /// [`import_unconfirmed_restarts`](Engine::import_unconfirmed_restarts) of another process.
     pub fn unconfirmed_restarts(&self) -> Vec<(String, Option<Micros>, Micros)> {
         self.core.borrow().unconfirmed_restarts()
     }
 
-    /// See [`Core::import_unconfirmed_restarts`].
+    /// Adds the [`unconfirmed_restarts`](Engine::unconfirmed_restarts) of another process. Call this before applying
+    /// the list of that process.
     pub fn import_unconfirmed_restarts(&self, restarts: Vec<(String, Option<Micros>, Micros)>) {
         self.core.borrow_mut().import_unconfirmed_restarts(restarts);
     }
 
-    /// See [`Core::forbid_retry`].
+    /// From now on, no request of an operation is retried once one of its attempts may have run, whatever its class
+    /// allows. Requests of the operation that are waiting between two such attempts fail at once. An attempt in
+    /// flight is the last one of its request, unless it certainly never ran.
     pub fn forbid_retry(self: &Rc<Self>, operation: u64) {
         self.with_core(|core, now| core.forbid_retry(now, operation));
     }
 
-    /// See [`Core::learned`].
+    /// The learned state of the decision module, to be imported by another process. The values of each zone are
+    /// returned separately, by zone name, as zone numbers differ between processes.
     pub fn learned(&self) -> (fs::LearnedState, Vec<(String, Vec<f64>)>) {
         self.core.borrow().learned()
     }
 
-    /// See [`Core::import_learned`].
+    /// Imports the [`learned`](Engine::learned) state of another process. Call this after applying the list of that
+    /// process.
     pub fn import_learned(self: &Rc<Self>, learned: fs::LearnedState, zones: Vec<(String, Vec<f64>)>) {
         self.with_core(|core, now| core.import_learned(now, learned, zones));
     }
 
-    /// See [`Core::in_flight`].
+    /// Attempts in flight, by zone name.
     pub fn in_flight(&self) -> Vec<(String, f64)> {
         self.core.borrow().in_flight()
     }
 
-    /// See [`Core::set_sibling_in_flight`].
+    /// Sets the number of attempts that another process of this balancer has in flight in each zone. Both processes
+    /// share the concurrency window of a zone.
     pub fn set_sibling_in_flight(self: &Rc<Self>, others: &[(String, f64)]) {
         self.with_core(|core, now| core.set_sibling_in_flight(now, others));
     }
--- a/engine/src/engine/tests.rs
+++ b/engine/src/engine/tests.rs
@@ -283,11 +283,13 @@
 #[test]
 fn forbidding_retries_prevents_attempts_after_one_that_may_have_run() {
     use Outcome::{ConnectFailed, Ok, Reset};
+    /// When retries of the operation are forbidden.
     #[derive(Debug, PartialEq)]
     enum Forbidden {
         Never,
         AttemptInFlight,
         BetweenAttempts,
+        /// Retries of another operation are forbidden.
         OtherOperation,
     }
     let rows = [
