--- a/routing/src/target.rs
+++ b/routing/src/target.rs
@@ -44,19 +44,19 @@
 impl fmt::Display for TargetError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            TargetError::UnsupportedForm => "the target is neither a path nor an absolute http URL",
-            TargetError::InvalidCharacter => "the path contains a character that must be percent-encoded",
-            TargetError::InvalidPercentEncoding => "the path contains % without two hexadecimal digits",
+            TargetError::UnsupportedForm => "the target is neither a path nor a whole http address",
+            TargetError::InvalidCharacter => "the path holds a character that must be encoded",
+            TargetError::InvalidPercentEncoding => "% without two hexadecimal digits",
             TargetError::DotSegment => "the path holds . or .. as a segment",
-            TargetError::EmptySegment => "the path contains an empty segment",
+            TargetError::EmptySegment => "the path holds an empty segment",
             TargetError::EncodedDelimiter => {
-                "the path contains an encoded delimiter or control character, or a double encoding"
+                "the path holds an encoded delimiter, control character or second encoding"
             }
-            TargetError::PathParameter => "the path contains a parameter (;)",
+            TargetError::PathParameter => "the path holds a parameter (;)",
             TargetError::TooManySegments => "the path has too many segments",
-            TargetError::InvalidHost => "exactly one valid Host is required",
-            TargetError::HostMismatch => "the host of the target differs from Host",
-            TargetError::InvalidQuery => "the query is malformed or has too many pairs",
+            TargetError::InvalidHost => "there must be one readable Host",
+            TargetError::HostMismatch => "the target names another host than Host",
+            TargetError::InvalidQuery => "the query cannot be read",
         })
     }
 }
