--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,3 +1,3 @@
-//! The platform's settings, which the adapter and the balancer both read, and names with numbers.
+//! The platform's settings, which the adapter and the balancer both read, and ids for names.
 
 pub mod setup;
