--- a/src/api.rs
+++ b/src/api.rs
@@ -1,271 +1,272 @@
 //! The interface of the balancer: settings, events, actions and the ids they use.
 //!
-//! Nothing in this file decides anything; every decision is in `brain.rs`. Ids are small integers that the
-//! caller assigns. Times are microseconds on any clock that only advances; spans are microseconds too.
+//! This file makes no decisions; all of them are in `brain.rs`. Ids are small integers assigned by the caller.
+//! Times are microseconds on any monotonic clock; durations are microseconds too.
 
 use std::fmt;
 
-/// A point in time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
-/// A server, as numbered by the caller; the same server keeps its number across restarts of its process.
+/// Identifies a server. The caller assigns it, and it stays the same across restarts of the server's process.
 pub type ServerId = u32;
-/// A request, as numbered by the caller; never reused within the life of a [`Balancer`](crate::Balancer).
+/// Identifies a request. The caller assigns it and never reuses it with the same [`Balancer`](crate::Balancer).
 pub type RequestId = u64;
-/// Index of a class in [`Settings::classes`].
+/// Index of a request class in [`Settings::classes`].
 pub type ClassId = usize;
-/// A zone: any small integer, the same for all servers of the zone.
+/// Identifies a zone: any small integer, the same for all servers of the zone.
 pub type ZoneId = u32;
-/// A machine kind: any small integer.
+/// Identifies a machine type: any small integer.
 pub type KindId = u32;
 /// Index of a tenant in [`Settings::tenants`].
 pub type TenantId = usize;
 
-/// What may be repeated of a class's requests.
+/// Whether, and on which servers, a request of a class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Safe to repeat anywhere.
+    /// Idempotent: may be repeated on any server.
     Safe,
-    /// Carries a key: the servers of one group drop repeats, for a window counted from the earliest attempt
-    /// that may have run.
+    /// Carries an idempotency key: the servers of one group discard repeats within a window that starts with
+    /// the earliest attempt that may have run.
     Keyed {
-        /// Which servers drop each other's repeats.
+        /// The servers that recognize each other's repeats.
         group: DedupGroup,
-        /// For how long they remember a request.
+        /// How long these servers remember a request.
         window: Micros,
     },
-    /// Must never run twice.
+    /// Not idempotent: must never run twice.
     Unsafe,
 }
 
-/// The servers that drop each other's repeats of a keyed request.
+/// The set of servers that deduplicate keyed requests among themselves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupGroup {
     /// All servers of the tier.
     All,
-    /// Servers of the same zone.
+    /// All servers of one zone.
     Zone,
-    /// Servers of the same cell.
+    /// All servers of one cell.
     Cell,
 }
 
-/// A class of requests.
+/// A class of requests with a common latency target, deadline and value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// What may be repeated.
+    /// Whether and where a request may be repeated.
     pub effect: Effect,
-    /// An answer within this span earns the full worth.
+    /// Latency target: an answer within this time earns the full value.
     pub latency_target: Micros,
-    /// The aim grows by this multiple of the request's own work, where a hint tells it.
+    /// Extra latency target per unit of the request's own work, if a work hint is given.
     pub target_per_work: f64,
-    /// How long a client waits in all.
+    /// Total time that a client waits for an answer.
     pub deadline: Micros,
-    /// Worth of one request (or of a unit of its work, see [`Settings::value_per_work`]).
+    /// Value of one request, or of one unit of its work (see [`Settings::value_per_work`]).
     pub value: f64,
-    /// Share of the worth that an answer after the aim still earns.
+    /// Share of the value that an answer after the latency target still earns.
     pub late_value_ratio: f64,
-    /// The answer is a stream: [`Event::FirstByte`] tells of its start.
+    /// Answers are streamed: [`Event::FirstByte`] reports the start of each.
     pub stream: bool,
 }
 
-/// One of those who share the service.
+/// A tenant of a shared service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its share of the service.
+    /// The tenant's share of the service's capacity.
     pub share: f64,
-    /// Requests a second within that share, over all balancers; what exceeds it is worth
-    /// [`Settings::over_quota_value_ratio`] of the usual.
+    /// Requests per second within that share, over all balancers. Requests beyond it have only
+    /// [`Settings::over_quota_value_ratio`] of their class's value.
     pub quota: f64,
 }
 
-/// What a balancer has learned, as figures whose meaning is the module's: for another of the same build.
+/// Latencies, windows and rates that a balancer has learned, for a successor of the same build. The layout of
+/// each list of numbers is private to the balancer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LearnedState {
-    /// Of each class.
+    /// One list of numbers per request class.
     pub classes: Vec<Vec<f64>>,
-    /// Of all classes together.
+    /// The numbers that cover all classes together.
     pub overall: Vec<f64>,
-    /// Of each zone.
+    /// One list of numbers per zone.
     pub zones: Vec<(ZoneId, Vec<f64>)>,
 }
 
-/// What [`ServerEntry::weight`] says.
+/// How [`ServerEntry::weight`] relates to the capacity of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WeightMeaning {
-    /// Nothing: it is always 1.
+    /// It carries no information: it is always 1.
     #[default]
     None,
-    /// The registered size.
+    /// The registered capacity.
     Nominal,
-    /// About the size.
+    /// An approximation of the capacity.
     Rough,
-    /// The size over 1 + requests held for each core, as it was a while ago.
+    /// The capacity divided by (1 + requests in flight per core), as of some time ago.
     Live,
 }
 
-/// How the list of servers arrives.
+/// How the balancer receives the list of servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Changes arrive unasked.
+    /// Changes are pushed without a request.
     Push,
-    /// Nothing arrives until [`Action::Watch`] or [`Action::Fetch`] asks.
+    /// Nothing arrives until the balancer requests it with [`Action::Watch`] or [`Action::Fetch`].
     Pull,
 }
 
 /// How servers report their load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportMode {
-    /// In outcomes and probe answers.
+    /// In outcomes of attempts and in probe answers.
     Answers,
     /// In probe answers only.
     Probe,
-    /// Not at all.
+    /// Servers report no load.
     None,
 }
 
-/// What the deployment allows.
+/// Limits and permissions of the deployment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     /// [`Action::Cancel`] may be used.
     pub cancel: bool,
     /// [`Action::Probe`] may be used.
     pub probes: bool,
-    /// Two attempts of a request may be out at once.
+    /// Two attempts of one request may be in flight at once (hedging).
     pub concurrent_attempts: bool,
-    /// Clients are handed the wait of [`Action::Refuse`].
+    /// Clients receive the delay of [`Action::Refuse`].
     pub retry_after: bool,
-    /// The longest wait that a client follows.
+    /// The longest delay that a client observes.
     pub max_retry_after: Micros,
-    /// Attempts for a request, all told.
+    /// Maximum number of attempts per request, including the first.
     pub max_attempts: u32,
-    /// Requests that the balancer may have open; 0 for no limit.
+    /// Maximum number of open requests in the balancer; 0 for no limit.
     pub max_open: u32,
-    /// Attempts that one connection carries at once; 0 where nothing is known.
+    /// Maximum number of concurrent attempts on one connection; 0 if unknown.
     pub max_streams: u32,
-    /// An idle connection is closed after this span; 0 where nothing is known.
+    /// An idle connection is closed after this time; 0 if unknown.
     pub idle_close: Micros,
-    /// A connection that is not up after this span is [`Outcome::ConnectFailed`]; 0 where nothing is known.
+    /// A connection not established within this time ends as [`Outcome::ConnectFailed`]; 0 if unknown.
     pub connect_timeout: Micros,
-    /// Processing time that the balancer has in a second; 0 for no limit.
+    /// CPU time per second that the balancer may use; 0 for no limit.
     pub cpu_per_second: Micros,
-    /// Processing time, in microseconds and parts of them, for a request with its outcomes; 0 for no limit.
+    /// CPU time in microseconds, with a fraction, for one request and its outcomes; 0 for no limit.
     pub cpu_per_request: f64,
 }
 
-/// Figures of the rules on drains, cold servers and discovery.
+/// Parameters of the rules for draining servers, cold servers and discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// A server that starts has at least this share of its capacity.
+    /// Share of its full capacity that a server has right after its start.
     pub initial_capacity_share: f64,
-    /// It is warm after this span at the latest.
+    /// Time after its start at which a server has its full capacity.
     pub warm_up_time: Micros,
-    /// Sent more than this multiple of its present capacity ...
+    /// A cold server is overloaded by more than this multiple of its present capacity.
     pub overload_factor: f64,
-    /// ... for this span, a cold server falls over.
+    /// A cold server that is overloaded for this long collapses.
     pub overload_time: Micros,
-    /// Where discovery must be asked, it must be asked at least this often unless watched.
+    /// With [`DiscoveryMode::Pull`] and no active watch, the maximum time between two requests for the list.
     pub discovery_interval: Micros,
-    /// Nothing new may go to a server later than this after the news that it drains or is gone.
+    /// Nothing new may be sent to a server later than this after the news that it drains or is gone.
     pub drain_grace: Micros,
-    /// A final answer still counts this long after the client's time.
+    /// A final answer still counts if it is at most this late after the client's deadline.
     pub answer_grace: Micros,
 }
 
-/// What each thing costs, in points of the result.
+/// Costs that are deducted from the result, in points.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Prices {
-    /// For each attempt that crosses zones, per request.
+    /// For each attempt sent to another zone, per request.
     pub cross_zone: f64,
     /// For each probe, per request.
     pub probe: f64,
-    /// For worth that ends unserved after its aim.
+    /// For the value of requests that fail after their latency target.
     pub late_failure: f64,
-    /// For work of servers that served no answer, per work offered.
+    /// For server work that led to no answer, per work offered.
     pub waste: f64,
-    /// For connections open, per hundred servers' worth of them.
+    /// For open connections, per hundred servers.
     pub connection: f64,
     /// For each new connection, per request.
     pub handshake: f64,
-    /// For lines of the list of servers, per hundred requests' worth of them.
+    /// For entries received in lists of servers, per hundred requests.
     pub discovery: f64,
 }
 
-/// Weights of the parts of the result.
+/// Weights of the parts of the result that the balancer optimizes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Goal {
-    /// Share of the result that all requests together decide.
+    /// Weight of all requests together.
     pub overall: f64,
-    /// Share that the worst stretch of time decides.
+    /// Weight of the time window with the worst result.
     pub worst_window: f64,
-    /// Share that the worst-served class decides.
+    /// Weight of the class with the worst result.
     pub worst_class: f64,
-    /// Share that the worst-served tenant decides, within its share of the service.
+    /// Weight of the tenant with the worst result, within its share of the service.
     pub worst_tenant: f64,
-    /// Share for which worth counts in full only while few requests miss their aim.
+    /// Weight of a part that counts in full only while few requests miss their latency target.
     pub tail_latency: f64,
-    /// The share of requests that may miss it; an early refusal is no miss.
+    /// Share of requests that may miss their latency target for that part; an early refusal is no miss.
     pub tail_miss_share: f64,
 }
 
-/// Everything a balancer is told at its start.
+/// The configuration of a balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// This balancer's number among those of its tier, from 0.
+    /// Index of this balancer among the balancers of its tier, from 0.
     pub balancer_index: u32,
-    /// How many balancers send to this tier.
+    /// Number of balancers that send to this tier.
     pub balancers: u32,
-    /// The zone that this balancer is in.
+    /// The zone of this balancer.
     pub zone: ZoneId,
-    /// How many zones there are.
+    /// Number of zones.
     pub zones: u32,
-    /// The tier that this balancer sends to, 0 for the first.
+    /// Index of the tier that this balancer sends to, 0 for the first.
     pub tier: u32,
-    /// How many tiers there are.
+    /// Number of tiers.
     pub tiers: u32,
-    /// A call from a tier above carries its caller's time left, not its class's whole deadline.
+    /// A call from the tier above carries the caller's remaining time, not the full deadline of its class.
     pub propagates_deadline: bool,
     /// The request classes.
     pub classes: Vec<Class>,
-    /// Worth counts per unit of work, not per request.
+    /// The value of a class counts per unit of work, not per request.
     pub value_per_work: bool,
-    /// Those who share the service; none where it has one owner.
+    /// The tenants of the service; empty if it is not shared.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request beyond its tenant's share, as a part of its class's worth.
+    /// Value of a request beyond its tenant's quota, as a ratio of its class's value.
     pub over_quota_value_ratio: f64,
-    /// Clients mark their repeats, see [`Event::Request`].
+    /// Clients mark their retries, see [`Event::Request`].
     pub clients_mark_retries: bool,
-    /// What the weights of servers say.
+    /// Meaning of the weights of servers.
     pub weights: WeightMeaning,
     /// How the list of servers arrives.
     pub discovery: DiscoveryMode,
-    /// How servers report load.
+    /// How servers report their load.
     pub report: ReportMode,
-    /// What is allowed.
+    /// Limits and permissions of the deployment.
     pub limits: Limits,
-    /// Figures of the rules.
+    /// Parameters of the rules for draining servers, cold servers and discovery.
     pub rules: Rules,
-    /// Prices.
+    /// Costs that are deducted from the result.
     pub prices: Prices,
-    /// Weights of the result.
+    /// Weights of the parts of the result.
     pub goal: Goal,
-    /// Shortest span between two calls of `handle` with different times.
+    /// Resolution of the clock: the shortest time between two calls of `handle` with different times.
     pub tick: Micros,
 }
 
-/// Why settings make no sense.
+/// The reason why [`Settings`] are invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError(pub(crate) &'static str);
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "bad settings: {}", self.0)
+        write!(f, "invalid settings: {}", self.0)
     }
 }
 
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Settings of a lone balancer for one tier in one zone, with nothing priced and nothing but sending
-    /// allowed; change what differs.
+    /// Settings of a single balancer for one tier in one zone, without prices and with all optional actions
+    /// disabled; adjust the fields that differ.
     pub fn new(classes: Vec<Class>) -> Settings {
         Settings {
             balancer_index: 0,
@@ -312,52 +313,52 @@
         }
     }
 
-    /// Tells whether the settings make sense; [`Balancer::new`](crate::Balancer::new) calls it.
+    /// Validates the settings; [`Balancer::new`](crate::Balancer::new) calls it.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let finite = |x: f64| x.is_finite() && x >= 0.0;
-        let test = |ok: bool, why| if ok { Ok(()) } else { Err(SettingsError(why)) };
-        test(!self.classes.is_empty(), "no classes")?;
-        test(self.balancers > 0 && self.zones > 0, "no balancers or no zones")?;
-        test(self.tier < self.tiers, "the tier lies beyond the last")?;
-        test(self.limits.max_attempts > 0, "no attempts allowed")?;
-        test(self.tick > 0, "the tick is zero")?;
+        let valid = |x: f64| x.is_finite() && x >= 0.0;
+        let require = |ok: bool, reason| if ok { Ok(()) } else { Err(SettingsError(reason)) };
+        require(!self.classes.is_empty(), "no classes")?;
+        require(self.balancers > 0 && self.zones > 0, "the number of balancers or zones is zero")?;
+        require(self.tier < self.tiers, "the tier index is not below the number of tiers")?;
+        require(self.limits.max_attempts > 0, "no attempts allowed")?;
+        require(self.tick > 0, "the tick is zero")?;
         for c in &self.classes {
-            test(c.latency_target > 0 && c.deadline > 0, "a class without aim or deadline")?;
-            test(
-                finite(c.value) && finite(c.late_value_ratio) && finite(c.target_per_work),
-                "a class's worth or stretch",
+            require(c.latency_target > 0 && c.deadline > 0, "a class without latency target or deadline")?;
+            require(
+                valid(c.value) && valid(c.late_value_ratio) && valid(c.target_per_work),
+                "a class's value, late value ratio or target per work is negative or not finite",
             )?;
         }
         for t in &self.tenants {
-            test(finite(t.share) && finite(t.quota), "a tenant's share or quota")?;
+            require(valid(t.share) && valid(t.quota), "a tenant's share or quota is negative or not finite")?;
         }
-        test(finite(self.over_quota_value_ratio), "the worth beyond a tenant's share")?;
-        test(finite(self.limits.cpu_per_request), "the processing time for a request")?;
+        require(valid(self.over_quota_value_ratio), "the over-quota value ratio is negative or not finite")?;
+        require(valid(self.limits.cpu_per_request), "the CPU time for a request is negative or not finite")?;
         let r = &self.rules;
-        test(
+        require(
             r.initial_capacity_share > 0.0 && r.initial_capacity_share <= 1.0,
-            "the cold share is not within 0 to 1",
+            "the initial capacity share is not within 0 to 1",
         )?;
-        test(finite(r.overload_factor), "the overload factor")?;
+        require(valid(r.overload_factor), "the overload factor is negative or not finite")?;
         let p = &self.prices;
         let prices = [p.cross_zone, p.probe, p.late_failure, p.waste, p.connection, p.handshake, p.discovery];
-        test(prices.into_iter().all(finite), "a price")?;
+        require(prices.into_iter().all(valid), "a price is negative or not finite")?;
         let g = &self.goal;
         let weights =
             [g.overall, g.worst_window, g.worst_class, g.worst_tenant, g.tail_latency, g.tail_miss_share];
-        test(weights.into_iter().all(finite), "a weight of the goal")
+        require(weights.into_iter().all(valid), "a weight of the goal is negative or not finite")
     }
 }
 
-/// What discovery says of a server.
+/// The state of a server according to discovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerState {
-    /// Takes requests.
+    /// Accepts requests.
     #[default]
     Ready,
-    /// Finishes what it has; nothing new may go to it.
+    /// Finishes the requests in flight; nothing new may be sent to it.
     Draining,
-    /// Withdrawn.
+    /// Deregistered.
     Gone,
 }
 
@@ -366,56 +367,57 @@
 pub struct ServerEntry {
     /// The server.
     pub id: ServerId,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: ZoneId,
-    /// Its machine kind.
+    /// Machine type of the server.
     pub kind: KindId,
-    /// Its cell: a small group that drops each other's repeats.
+    /// Cell of the server: a small group that deduplicates requests among its members.
     pub cell: u32,
-    /// A hash of its address, the same at every balancer: it spreads the balancers over the servers.
+    /// Hash of the server's address, the same at every balancer: its position on the hash ring that spreads
+    /// the balancers over the servers.
     pub ring_hash: u64,
-    /// What discovery says of it.
+    /// State of the server according to discovery.
     pub state: ServerState,
-    /// Its size beside the others'; 1 where nothing is known.
+    /// Relative capacity of the server, see [`WeightMeaning`]; 1 if unknown.
     pub weight: f64,
-    /// When its process last started; `None` for long ago.
+    /// Time of the last start of the server's process; `None` if it is long ago.
     pub started_at: Option<Micros>,
 }
 
 impl ServerEntry {
-    /// A ready server of zone, kind and cell 0 that started long ago.
+    /// A ready server in zone, machine type and cell 0 that started long ago.
     pub fn new(id: ServerId) -> ServerEntry {
         ServerEntry { id, ring_hash: u64::from(id), weight: 1.0, ..ServerEntry::default() }
     }
 }
 
-/// What a list of servers is.
+/// The kind of a list of servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Changed entries only.
     Changes,
-    /// The complete list: a server not in it is gone.
+    /// The complete list: a server that is not in it is gone.
     Complete,
-    /// The complete list as last held before a restart, perhaps old.
+    /// The complete list as saved before a restart; it may be out of date.
     Stale,
-    /// A call to discovery failed or the watch broke; it has no entries.
+    /// A call to discovery failed or the watch broke; the list has no entries.
     Failed,
 }
 
-/// A server's report of its load; what it does not tell is `None`.
+/// A server's report of its load; `None` for each value that it does not report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Requests it holds.
+    /// Requests in the server, running or queued.
     pub in_flight: Option<f64>,
-    /// Requests that wait.
+    /// Requests that wait in the server's queue.
     pub queue: Option<f64>,
-    /// Share of its processing power in use.
+    /// Share of the server's CPU in use.
     pub utilization: Option<f64>,
-    /// Requests served in a second.
+    /// Requests served per second.
     pub throughput: Option<f64>,
     /// Recent time to serve a request.
     pub latency: Option<Micros>,
-    /// Errors in a second.
+    /// Errors per second.
     pub errors: Option<f64>,
 }
 
@@ -424,150 +426,150 @@
 pub enum Outcome {
     /// Served.
     Ok,
-    /// The server answered with an error; it may have run.
+    /// The server answered with an error; the request may have run.
     Error,
-    /// Turned away unseen; it never ran.
+    /// The server rejected the attempt as overloaded; the request never ran.
     Full,
-    /// No answer within the attempt's limit; it may have run.
+    /// No answer within the attempt's limit; the request may have run.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection was established; the request never ran.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the request may have run.
     Reset,
-    /// Called off; it may have run.
+    /// The attempt was cancelled; the request may have run.
     Cancelled,
-    /// Never sent; it never ran.
+    /// The attempt was never sent; the request never ran.
     NotSent,
 }
 
 impl Outcome {
-    /// Tells whether this outcome proves that the attempt never ran.
+    /// Returns true if this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
-/// What happens to a balancer.
+/// An input of the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the list of servers.
+    /// A list of servers, or changes to it, arrived.
     Servers {
-        /// What the entries are.
+        /// Whether the entries are changes or a complete list.
         kind: ListKind,
-        /// The entries.
+        /// The entries of the list.
         entries: Vec<ServerEntry>,
     },
-    /// A request arrived; the balancer owes one final answer.
+    /// A request arrived; the balancer owes it exactly one final answer.
     Request {
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// Its class.
+        /// Class of the request.
         class: ClassId,
-        /// How long until its client gives up.
+        /// Time until the client gives up.
         time_left: Micros,
-        /// Whose it is, where the service is shared.
+        /// Tenant of the request, if the service is shared.
         tenant: Option<TenantId>,
-        /// Expected work, where the deployment tells it.
+        /// Expected work, if the deployment provides a hint.
         work: Option<Micros>,
-        /// The client marks it as a repeat.
+        /// The client marks the request as a retry.
         retry: bool,
     },
-    /// A streamed answer has begun: the attempt is the client's now.
+    /// A streamed answer has begun: the balancer no longer limits, cancels or retries the request.
     FirstByte {
-        /// The request.
+        /// The request that is being answered.
         request: RequestId,
-        /// Number of the attempt.
+        /// Number of the attempt, from 0 in the order of sending.
         attempt: u32,
     },
-    /// An attempt ended. One for each [`Action::Send`].
+    /// An attempt ended. There is exactly one such event for each [`Action::Send`].
     Outcome {
-        /// The request.
+        /// The request of the attempt.
         request: RequestId,
-        /// Number of the attempt, counted from 0 in order of sending.
+        /// Number of the attempt, from 0 in the order of sending.
         attempt: u32,
-        /// Where it went.
+        /// The server that the attempt was sent to.
         server: ServerId,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// How long it took.
+        /// Time from sending the attempt until its end.
         latency: Micros,
-        /// The request is finished and nothing more is owed for it.
+        /// The request is finished: the balancer owes it no further answer.
         closed: bool,
-        /// The server's load, where it reported.
+        /// The server's load, if it reported any.
         load: Option<Load>,
     },
-    /// The client left; nothing more is owed.
+    /// The client disconnected; the balancer owes the request no answer.
     ClientGone {
-        /// The request.
+        /// The request of that client.
         request: RequestId,
     },
-    /// A timer set by [`Action::Timer`] rang.
+    /// A timer set by [`Action::Timer`] fired.
     Timer {
-        /// Its token.
+        /// The token of that action.
         token: u64,
     },
-    /// A probe was answered or not.
+    /// A probe ended, with or without an answer.
     Probed {
-        /// The server.
+        /// The server that was probed.
         server: ServerId,
-        /// `Ok` if it answered.
+        /// `Ok` if the server answered.
         outcome: Outcome,
-        /// How long it took.
+        /// Time from sending the probe until its end.
         latency: Micros,
-        /// The server's load, where it reported.
+        /// The server's load, if it reported any.
         load: Option<Load>,
     },
 }
 
-/// What a balancer wants done, in this order.
+/// An output of the balancer. The caller executes actions in the order in which they were appended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt.
     Send {
-        /// The request.
+        /// The request to send.
         request: RequestId,
-        /// Where to.
+        /// The server to send the request to.
         server: ServerId,
-        /// The attempt's limit.
+        /// Time limit of the attempt.
         limit: Micros,
     },
-    /// Final answer: refused; trying again is harmless.
+    /// Final answer: refused. A retry by the client is safe.
     Refuse {
-        /// The request.
+        /// The request that is refused.
         request: RequestId,
-        /// How long the client should stay away; 0 for no wish.
+        /// Time that the client should wait before a retry; 0 for no preference.
         retry_after: Micros,
     },
-    /// Final answer: failed, with no promise.
+    /// Final answer: failed. The request may or may not have run.
     Fail {
-        /// The request.
+        /// The request that fails.
         request: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
-        /// The request.
+        /// The request of the attempt.
         request: RequestId,
-        /// Number of the attempt.
+        /// Number of the attempt, from 0 in the order of sending.
         attempt: u32,
     },
     /// Probe a server.
     Probe {
-        /// The server.
+        /// The server to probe.
         server: ServerId,
     },
     /// Close the idle connections to a server.
     CloseIdle {
-        /// The server.
+        /// The server whose connections are closed.
         server: ServerId,
     },
-    /// Ring [`Event::Timer`] after a delay.
+    /// Deliver [`Event::Timer`] after a delay.
     Timer {
-        /// From now.
+        /// Time from now until the event.
         delay: Micros,
-        /// Handed back.
+        /// Token to pass in the event.
         token: u64,
     },
-    /// Ask discovery to send changes from now on.
+    /// Ask discovery to push changes from now on.
     Watch,
     /// Ask discovery for the complete list once.
     Fetch,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! Load-balancer decisions for services that call services.
+//! Load-balancing decisions for services that call other services.
 #![doc = include_str!("../README.md")]
 
 pub mod api;
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -481,8 +481,8 @@
     assert!(bad(|s| s.classes.clear()).contains("no classes"));
     assert!(bad(|s| s.tier = 5).contains("tier"));
     assert!(bad(|s| s.balancers = 0).contains("balancers"));
-    assert!(bad(|s| s.rules.initial_capacity_share = f64::NAN).contains("cold share"));
-    assert!(bad(|s| s.classes[0].value = -1.0).contains("worth"));
+    assert!(bad(|s| s.rules.initial_capacity_share = f64::NAN).contains("initial capacity share"));
+    assert!(bad(|s| s.classes[0].value = -1.0).contains("value"));
     assert!(bad(|s| s.limits.max_attempts = 0).contains("attempts"));
     assert!(bad(|s| s.prices.waste = f64::INFINITY).contains("price"));
     assert!(bad(|s| s.goal.tail_latency = -0.1).contains("goal"));
