--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -1,349 +1,355 @@
-//! One clause of the design, or one fault found, a test.
+//! Tests of single design rules and of faults found in simulations. Comments describe the fault a test guards against.
 
 mod common;
 
-use common::{KEYED_CELL, MS, Out, SECOND, World, settings, warm_up, world};
+use common::{Attempt, KEYED_CELL, MS, SECOND, Simulation, serve_sequentially, settings, simulation};
 use finchshift::{
     Action, Balancer, DiscoveryMode, Effect, Event, Goal, ListKind, Outcome, ServerEntry, ServerState, Tenant,
 };
 
-fn last_out(world: &World) -> Out {
-    world.out.last().expect("an attempt is out").clone()
+/// The attempt that was sent last.
+fn last_attempt(sim: &Simulation) -> Attempt {
+    sim.in_flight.last().expect("attempt in flight").clone()
 }
 
 #[test]
-fn without_samples_the_time_left_bounds_an_attempt() {
-    let mut world = world(&[Effect::Safe], 3);
-    world.request(0);
-    assert_eq!(last_out(&world).limit, 499 * MS, "the aim less a tick");
-    world.request_with(0, 300 * MS);
-    assert_eq!(last_out(&world).limit, 300 * MS);
+fn attempt_is_limited_by_the_remaining_time_without_samples() {
+    let mut sim = simulation(&[Effect::Safe], 3);
+    sim.request(0);
+    assert_eq!(last_attempt(&sim).limit, 499 * MS, "latency target minus one tick");
+    sim.request_with_time_left(0, 300 * MS);
+    assert_eq!(last_attempt(&sim).limit, 300 * MS);
 }
 
 #[test]
-fn a_handful_of_answers_is_no_p99() {
-    // The first answers are the fastest ones: taken for P99 they cut off all the rest.
-    let mut world = world(&[Effect::Unsafe], 3);
-    warm_up(&mut world, 0, 20, 10 * MS);
-    world.request(0);
-    assert_eq!(last_out(&world).limit, 499 * MS);
+fn few_answers_give_no_p99() {
+    // The first answers are the fastest ones: a P99 from them would cut off all later calls.
+    let mut sim = simulation(&[Effect::Unsafe], 3);
+    serve_sequentially(&mut sim, 0, 20, 10 * MS);
+    sim.request(0);
+    assert_eq!(last_attempt(&sim).limit, 499 * MS);
 }
 
 #[test]
-fn p99_bounds_the_first_attempt_once_learned() {
-    let mut world = world(&[Effect::Safe], 3);
-    warm_up(&mut world, 0, 160, 10 * MS);
-    world.request(0);
-    let limit = last_out(&world).limit;
+fn learned_p99_limits_the_first_attempt() {
+    let mut sim = simulation(&[Effect::Safe], 3);
+    serve_sequentially(&mut sim, 0, 160, 10 * MS);
+    sim.request(0);
+    let limit = last_attempt(&sim).limit;
     assert!((9 * MS..13 * MS).contains(&limit), "{limit}");
 }
 
 #[test]
-fn time_outs_widen_p99_again() {
-    // The cut-offs must not drag down the percentile that sets them.
-    let mut world = world(&[Effect::Unsafe], 40);
-    warm_up(&mut world, 0, 160, 10 * MS);
-    world.request(0);
-    assert!(last_out(&world).limit < 50 * MS);
+fn timeouts_widen_p99() {
+    // Timeouts must not lower the percentile that sets their limit.
+    let mut sim = simulation(&[Effect::Unsafe], 40);
+    serve_sequentially(&mut sim, 0, 160, 10 * MS);
+    sim.request(0);
+    assert!(last_attempt(&sim).limit < 50 * MS);
     for _ in 0..200 {
-        world.request(0);
-        let until = world.now + 60 * MS;
-        world.run(until, |_| Some((60 * MS, Outcome::Ok)));
+        sim.request(0);
+        let until = sim.now + 60 * MS;
+        sim.run(until, |_| Some((60 * MS, Outcome::Ok)));
     }
-    world.request(0);
-    assert!(last_out(&world).limit > 60 * MS);
+    sim.request(0);
+    assert!(last_attempt(&sim).limit > 60 * MS);
 }
 
 #[test]
-fn a_retry_follows_a_time_out_with_p50_and_goes_elsewhere() {
-    let mut world = world(&[Effect::Safe], 4);
-    warm_up(&mut world, 0, 160, 10 * MS);
-    // With so little time left that P50 is more than the last attempt's part of it.
-    world.request_with(0, 100 * MS);
-    let first = last_out(&world);
-    let until = world.now + first.limit + 9 * MS;
-    world.run(until, |_| None);
-    let second = last_out(&world);
-    assert_eq!((second.request, second.attempt), (first.request, 1));
+fn retry_after_a_timeout_is_limited_by_p50_and_uses_another_server() {
+    let mut sim = simulation(&[Effect::Safe], 4);
+    serve_sequentially(&mut sim, 0, 160, 10 * MS);
+    // So little time is left that P50 exceeds the minimum share for a last attempt.
+    sim.request_with_time_left(0, 100 * MS);
+    let first = last_attempt(&sim);
+    let until = sim.now + first.limit + 9 * MS;
+    sim.run(until, |_| None);
+    let second = last_attempt(&sim);
+    assert_eq!((second.request, second.number), (first.request, 1));
     assert_ne!(second.server, first.server);
     assert!(second.limit < 12 * MS, "{}", second.limit);
 }
 
 #[test]
-fn there_is_one_retry_only() {
-    let mut world = world(&[Effect::Safe], 4);
-    let id = world.request(0);
+fn request_is_retried_only_once() {
+    let mut sim = simulation(&[Effect::Safe], 4);
+    let id = sim.request(0);
     for _ in 0..2 {
-        let out = last_out(&world);
-        world.end(&out, Outcome::Error);
-        let until = world.now + 10 * MS;
-        world.run(until, |_| Some((SECOND, Outcome::Ok)));
+        let out = last_attempt(&sim);
+        sim.end_attempt(&out, Outcome::Error);
+        let until = sim.now + 10 * MS;
+        sim.run(until, |_| Some((SECOND, Outcome::Ok)));
     }
-    assert!(!world.is_open(id) && world.out.is_empty());
-    assert_eq!(world.sends.values().sum::<u32>(), 2);
+    assert!(!sim.is_open(id) && sim.in_flight.is_empty());
+    assert_eq!(sim.attempts.values().sum::<u32>(), 2);
 }
 
 #[test]
-fn the_retry_budget_runs_out() {
-    let mut world = world(&[Effect::Safe], 4);
+fn retry_budget_limits_retries() {
+    let mut sim = simulation(&[Effect::Safe], 4);
     for _ in 0..60 {
-        world.request(0);
+        sim.request(0);
         for _ in 0..2 {
-            if let Some(out) = world.out.last().cloned() {
-                world.end(&out, Outcome::Error);
+            if let Some(out) = sim.in_flight.last().cloned() {
+                sim.end_attempt(&out, Outcome::Error);
             }
-            let until = world.now + 9 * MS;
-            world.run(until, |_| Some((SECOND, Outcome::Ok)));
+            let until = sim.now + 9 * MS;
+            sim.run(until, |_| Some((SECOND, Outcome::Ok)));
         }
     }
-    let sent = world.sends.values().sum::<u32>();
-    assert!((60..=72).contains(&sent), "5 saved and a tenth of 60 at most: {sent}");
+    let sent = sim.attempts.values().sum::<u32>();
+    assert!((60..=72).contains(&sent), "expected at most 60 first attempts and 5 + 6 retries, sent {sent}");
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_fails() {
-    let mut world = world(&[Effect::Unsafe], 4);
-    let id = world.request(0);
-    let out = last_out(&world);
-    let actions = world.end(&out, Outcome::Error);
+fn unsafe_request_that_may_have_run_fails() {
+    let mut sim = simulation(&[Effect::Unsafe], 4);
+    let id = sim.request(0);
+    let out = last_attempt(&sim);
+    let actions = sim.end_attempt(&out, Outcome::Error);
     assert_eq!(actions, [Action::Fail { request: id }]);
 }
 
 #[test]
-fn what_never_ran_goes_out_again_even_if_unsafe() {
-    let mut world = world(&[Effect::Unsafe], 4);
-    let id = world.request(0);
-    let out = last_out(&world);
-    world.end(&out, Outcome::ConnectFailed);
-    let until = world.now + 10 * MS;
-    world.run(until, |_| Some((SECOND, Outcome::Ok)));
-    assert_eq!((last_out(&world).request, last_out(&world).attempt), (id, 1));
+fn unsafe_request_that_never_ran_is_resent() {
+    let mut sim = simulation(&[Effect::Unsafe], 4);
+    let id = sim.request(0);
+    let out = last_attempt(&sim);
+    sim.end_attempt(&out, Outcome::ConnectFailed);
+    let until = sim.now + 10 * MS;
+    sim.run(until, |_| Some((SECOND, Outcome::Ok)));
+    assert_eq!((last_attempt(&sim).request, last_attempt(&sim).number), (id, 1));
 }
 
 #[test]
-fn a_keyed_repeat_stays_in_its_cell() {
+fn keyed_retry_stays_in_its_cell() {
     let servers = (0..6).map(|id| {
         let mut e = ServerEntry::new(id);
         e.cell = id % 2;
         e
     });
-    let mut world = World::new(settings(&[KEYED_CELL]), servers.collect(), 1);
+    let mut sim = Simulation::new(settings(&[KEYED_CELL]), servers.collect(), 1);
     for _ in 0..20 {
-        world.request(0);
-        let first = last_out(&world);
-        world.end(&first, Outcome::Reset);
-        let until = world.now + 10 * MS;
-        world.run(until, |_| Some((SECOND, Outcome::Ok)));
-        for out in world.out.clone() {
+        sim.request(0);
+        let first = last_attempt(&sim);
+        sim.end_attempt(&first, Outcome::Reset);
+        let until = sim.now + 10 * MS;
+        sim.run(until, |_| Some((SECOND, Outcome::Ok)));
+        for out in sim.in_flight.clone() {
             assert_eq!(out.server % 2, first.server % 2);
-            world.end(&out, Outcome::Ok);
+            sim.end_attempt(&out, Outcome::Ok);
         }
     }
 }
 
 #[test]
-fn what_cannot_finish_is_not_sent() {
-    let mut world = world(&[Effect::Safe], 4);
-    warm_up(&mut world, 0, 160, 50 * MS);
-    let late = world.request_with(0, 40 * MS);
-    assert!(!world.is_open(late), "a client's late try with less than P50 left is not sent");
-    world.request_with(0, 60 * MS);
-    assert!(!world.out.is_empty());
-    let mut world = World::new(settings(&[Effect::Safe]), Vec::new(), 7);
-    let id = world.request(0);
-    let until = world.now + 500 * MS;
-    world.run(until, |_| None);
-    assert!(!world.is_open(id), "held without servers it ends before its aim has passed");
+fn request_that_cannot_finish_is_not_sent() {
+    let mut sim = simulation(&[Effect::Safe], 4);
+    serve_sequentially(&mut sim, 0, 160, 50 * MS);
+    let late = sim.request_with_time_left(0, 40 * MS);
+    assert!(!sim.is_open(late), "a request with less than P50 left is not sent");
+    sim.request_with_time_left(0, 60 * MS);
+    assert!(!sim.in_flight.is_empty());
+    let mut sim = Simulation::new(settings(&[Effect::Safe]), Vec::new(), 7);
+    let id = sim.request(0);
+    let until = sim.now + 500 * MS;
+    sim.run(until, |_| None);
+    assert!(!sim.is_open(id), "a request queued without servers ends before its latency target");
 }
 
 #[test]
-fn hinted_work_scales_what_an_attempt_needs() {
-    // Where aims are few mean works, a request of twice the mean cannot finish and still took a place.
-    let mut world = world(&[Effect::Safe], 4);
+fn work_hint_scales_the_expected_latency() {
+    // If targets are only a few times the mean work, a request of twice the mean cannot finish in time, but it
+    // occupied the window.
+    let mut sim = simulation(&[Effect::Safe], 4);
     for _ in 0..160 {
-        world.request_hinted(0, SECOND, Some(50 * MS));
-        let until = world.now + 51 * MS;
-        world.run(until, |_| Some((50 * MS, Outcome::Ok)));
+        sim.request_with_work(0, SECOND, Some(50 * MS));
+        let until = sim.now + 51 * MS;
+        sim.run(until, |_| Some((50 * MS, Outcome::Ok)));
     }
-    let large = world.request_hinted(0, 120 * MS, Some(200 * MS));
-    assert!(!world.is_open(large), "nearly three times P50 does not fit into 120 ms");
-    world.request_hinted(0, 120 * MS, Some(50 * MS));
-    assert_eq!(world.out.len(), 1);
+    let large = sim.request_with_work(0, 120 * MS, Some(200 * MS));
+    assert!(!sim.is_open(large), "nearly three times P50 does not fit into 120 ms");
+    sim.request_with_work(0, 120 * MS, Some(50 * MS));
+    assert_eq!(sim.in_flight.len(), 1);
 }
 
 #[test]
-fn a_hopeless_request_fails_and_an_early_drop_is_refused() {
-    // A refusal makes the client come again: of use only while an answer can still be in time.
-    let mut world = World::new(settings(&[Effect::Safe]), Vec::new(), 7);
-    let id = world.request(0);
-    let until = world.now + SECOND;
-    world.run(until, |_| None);
-    assert_eq!(world.failed, [id]);
+fn late_request_fails_and_early_drop_is_refused() {
+    // A refusal makes the client retry, which only helps while an answer can still be in time.
+    let mut sim = Simulation::new(settings(&[Effect::Safe]), Vec::new(), 7);
+    let id = sim.request(0);
+    let until = sim.now + SECOND;
+    sim.run(until, |_| None);
+    assert_eq!(sim.failed, [id]);
     for _ in 0..30 {
-        world.request(0);
+        sim.request(0);
     }
-    assert!(!world.refused.is_empty(), "more than the balancer holds");
+    assert!(!sim.refused.is_empty(), "the queue is full");
 }
 
 #[test]
-fn the_pick_takes_fewest_own_calls_in_flight() {
-    let mut world = world(&[Effect::Safe], 4);
+fn server_with_fewest_own_calls_in_flight_is_picked() {
+    let mut sim = simulation(&[Effect::Safe], 4);
     for _ in 0..4 {
-        world.request(0);
+        sim.request(0);
     }
-    assert_eq!(world.sends.len(), 4, "one each: {:?}", world.sends);
+    assert_eq!(sim.attempts.len(), 4, "expected one attempt per server: {:?}", sim.attempts);
 }
 
 #[test]
-fn own_time_outs_open_the_breaker_and_a_trial_closes_it() {
-    let mut world = world(&[Effect::Safe], 4);
+fn timeouts_open_the_breaker_and_a_trial_closes_it() {
+    let mut sim = simulation(&[Effect::Safe], 4);
     for _ in 0..150 {
-        world.request(0);
-        let until = world.now + 40 * MS;
-        world.run(until, |o| (o.server != 2).then_some((20 * MS, Outcome::Ok)));
+        sim.request(0);
+        let until = sim.now + 40 * MS;
+        sim.run(until, |o| (o.server != 2).then_some((20 * MS, Outcome::Ok)));
     }
-    let silent = world.sends[&2];
-    assert!(silent < 8, "{silent}");
+    let before = sim.attempts[&2];
+    assert!(before < 8, "{before}");
     for _ in 0..600 {
-        world.request(0);
-        let until = world.now + 40 * MS;
-        world.run(until, |_| Some((20 * MS, Outcome::Ok)));
+        sim.request(0);
+        let until = sim.now + 40 * MS;
+        sim.run(until, |_| Some((20 * MS, Outcome::Ok)));
     }
-    assert!(world.sends[&2] > silent + 20, "back after a trial: {:?}", world.sends);
+    assert!(sim.attempts[&2] > before + 20, "expected calls after a successful trial: {:?}", sim.attempts);
 }
 
 #[test]
-fn the_callers_expiry_opens_no_breaker() {
-    let mut world = world(&[Effect::Safe], 2);
+fn expired_caller_deadline_opens_no_breaker() {
+    let mut sim = simulation(&[Effect::Safe], 2);
     for _ in 0..60 {
-        world.request_with(0, 20 * MS);
-        let until = world.now + 60 * MS;
-        world.run(until, |o| (o.server != 1).then_some((10 * MS, Outcome::Ok)));
+        sim.request_with_time_left(0, 20 * MS);
+        let until = sim.now + 60 * MS;
+        sim.run(until, |o| (o.server != 1).then_some((10 * MS, Outcome::Ok)));
     }
-    let before = world.sends[&1];
+    let before = sim.attempts[&1];
     for _ in 0..200 {
-        world.request(0);
-        let until = world.now + 60 * MS;
-        world.run(until, |_| Some((10 * MS, Outcome::Ok)));
+        sim.request(0);
+        let until = sim.now + 60 * MS;
+        sim.run(until, |_| Some((10 * MS, Outcome::Ok)));
     }
-    assert!(world.sends[&1] > before + 10, "{:?}", world.sends);
+    assert!(sim.attempts[&1] > before + 10, "{:?}", sim.attempts);
 }
 
 #[test]
-fn when_all_servers_fail_most_stay_in_use() {
-    let mut world = world(&[Effect::Safe], 9);
+fn most_servers_stay_in_use_when_all_fail() {
+    let mut sim = simulation(&[Effect::Safe], 9);
     for _ in 0..300 {
-        world.request(0);
-        if let Some(out) = world.out.first().cloned() {
-            world.end(&out, Outcome::Error);
+        sim.request(0);
+        if let Some(out) = sim.in_flight.first().cloned() {
+            sim.end_attempt(&out, Outcome::Error);
         }
-        let until = world.now + 10 * MS;
-        world.run(until, |_| None);
+        let until = sim.now + 10 * MS;
+        sim.run(until, |_| None);
     }
-    let before = world.sends.clone();
+    let before = sim.attempts.clone();
     for _ in 0..30 {
-        world.request(0);
-        let until = world.now + 10 * MS;
-        world.run(until, |_| Some((MS, Outcome::Ok)));
+        sim.request(0);
+        let until = sim.now + 10 * MS;
+        sim.run(until, |_| Some((MS, Outcome::Ok)));
     }
-    let used = world.sends.iter().filter(|(id, n)| before.get(id) != Some(n)).count();
-    assert!(used >= 5, "{used} in use");
+    let used = sim.attempts.iter().filter(|(id, n)| before.get(id) != Some(n)).count();
+    assert!(used >= 5, "{used} servers in use");
 }
 
 #[test]
-fn a_draining_server_gets_nothing_new() {
-    let mut world = world(&[Effect::Safe], 2);
+fn draining_server_gets_no_new_requests() {
+    let mut sim = simulation(&[Effect::Safe], 2);
     let mut e = ServerEntry::new(0);
     e.state = ServerState::Draining;
-    world.list(ListKind::Changes, vec![e]);
+    sim.update_servers(ListKind::Changes, vec![e]);
     for _ in 0..4 {
-        world.request(0);
+        sim.request(0);
     }
-    assert_eq!(world.sends.get(&0), None);
+    assert_eq!(sim.attempts.get(&0), None);
 }
 
 #[test]
-fn a_cold_server_gets_its_cold_share() {
-    let mut world = world(&[Effect::Safe], 4);
-    warm_up(&mut world, 0, 400, 5 * MS);
+fn cold_server_gets_its_capacity_share() {
+    let mut sim = simulation(&[Effect::Safe], 4);
+    serve_sequentially(&mut sim, 0, 400, 5 * MS);
     let mut e = ServerEntry::new(9);
-    e.started_at = Some(world.now);
-    world.list(ListKind::Changes, vec![e]);
-    let before = world.sends.clone();
-    warm_up(&mut world, 0, 600, 5 * MS);
-    let cold = world.sends.get(&9).copied().unwrap_or(0);
-    let warm = (world.sends[&0] - before[&0]) as f64;
-    assert!((f64::from(cold)) < 0.6 * warm && cold > 0, "{cold} beside {warm}");
-}
-
-#[test]
-fn a_burst_does_not_fall_on_a_cold_server() {
-    // With nothing in flight it looks best of all, to every balancer at once.
-    let mut world = world(&[Effect::Safe], 4);
-    warm_up(&mut world, 0, 200, 5 * MS);
-    let cold = ServerEntry { started_at: Some(world.now), ..ServerEntry::new(9) };
-    world.list(ListKind::Changes, vec![cold]);
+    e.started_at = Some(sim.now);
+    sim.update_servers(ListKind::Changes, vec![e]);
+    let before = sim.attempts.clone();
+    serve_sequentially(&mut sim, 0, 600, 5 * MS);
+    let cold = sim.attempts.get(&9).copied().unwrap_or(0);
+    let warm = (sim.attempts[&0] - before[&0]) as f64;
+    assert!((f64::from(cold)) < 0.6 * warm && cold > 0, "cold server {cold}, warm server {warm}");
+}
+
+#[test]
+fn burst_is_not_sent_to_a_cold_server() {
+    // With nothing in flight a cold server looks best, to all balancers at once.
+    let mut sim = simulation(&[Effect::Safe], 4);
+    serve_sequentially(&mut sim, 0, 200, 5 * MS);
+    let cold = ServerEntry { started_at: Some(sim.now), ..ServerEntry::new(9) };
+    sim.update_servers(ListKind::Changes, vec![cold]);
     for _ in 0..60 {
         for _ in 0..6 {
-            world.request(0);
+            sim.request(0);
         }
-        let until = world.now + 25 * MS;
-        world.run(until, |_| Some((20 * MS, Outcome::Ok)));
+        let until = sim.now + 25 * MS;
+        sim.run(until, |_| Some((20 * MS, Outcome::Ok)));
     }
-    let cold = world.sends.get(&9).copied().unwrap_or(0);
-    assert!(cold < 25, "{cold} of 360 in its first seconds; a fifth of a warm server's part is 18");
+    let cold = sim.attempts.get(&9).copied().unwrap_or(0);
+    assert!(cold < 25, "{cold} of 360 calls to the cold server; a fifth of a warm server's share is 18");
 }
 
 #[test]
-fn places_given_up_do_not_fill_the_window_for_long() {
-    // They faded with P99, which a slow spell widens to seconds.
-    let mut world = world(&[Effect::Unsafe], 6);
-    warm_up(&mut world, 0, 200, 20 * MS);
+fn abandoned_attempts_leave_the_window_soon() {
+    // They decayed with P99, which a slow period widens to seconds.
+    let mut sim = simulation(&[Effect::Unsafe], 6);
+    serve_sequentially(&mut sim, 0, 200, 20 * MS);
     for _ in 0..40 {
-        world.request(0);
-        let until = world.now + 10 * MS;
-        world.run(until, |_| None);
+        sim.request(0);
+        let until = sim.now + 10 * MS;
+        sim.run(until, |_| None);
     }
-    let until = world.now + SECOND;
-    world.run(until, |_| None);
-    let before = world.sends.values().sum::<u32>();
+    let until = sim.now + SECOND;
+    sim.run(until, |_| None);
+    let before = sim.attempts.values().sum::<u32>();
     for _ in 0..4 {
-        world.request(0);
+        sim.request(0);
     }
-    assert_eq!(world.sends.values().sum::<u32>() - before, 4);
+    assert_eq!(sim.attempts.values().sum::<u32>() - before, 4);
 }
 
 #[test]
-fn first_windows_make_little_allowance_for_tiers_behind() {
-    // Servers that held twelve each from the first second on turned slow before any answer told of it.
+fn initial_windows_have_a_small_allowance_for_lower_tiers() {
+    // Servers with twelve calls each from the start were overloaded before any answer showed it.
     let mut s = settings(&[Effect::Safe]);
     (s.balancers, s.tiers) = (1, 3);
-    let mut world = World::new(s, (0..4).map(ServerEntry::new).collect(), 7);
+    let mut sim = Simulation::new(s, (0..4).map(ServerEntry::new).collect(), 7);
     for _ in 0..100 {
-        world.request(0);
+        sim.request(0);
     }
     for server in 0..4 {
-        assert_eq!(world.out.iter().filter(|o| o.server == server).count(), 6, "at server {server}");
+        assert_eq!(
+            sim.in_flight.iter().filter(|o| o.server == server).count(),
+            6,
+            "attempts at server {server}"
+        );
     }
 }
 
 #[test]
-fn silent_servers_do_not_close_the_window() {
-    let mut world = world(&[Effect::Safe], 12);
+fn unresponsive_servers_do_not_shrink_the_window() {
+    let mut sim = simulation(&[Effect::Safe], 12);
     for _ in 0..300 {
-        world.request(0);
-        let until = world.now + 30 * MS;
-        world.run(until, |o| (o.server % 4 != 0).then_some((20 * MS, Outcome::Ok)));
+        sim.request(0);
+        let until = sim.now + 30 * MS;
+        sim.run(until, |o| (o.server % 4 != 0).then_some((20 * MS, Outcome::Ok)));
     }
-    let before = world.out.len();
+    let before = sim.in_flight.len();
     for _ in 0..30 {
-        world.request(0);
+        sim.request(0);
     }
-    assert!(world.out.len() - before >= 18, "{} more out", world.out.len() - before);
+    assert!(sim.in_flight.len() - before >= 18, "{} more in flight", sim.in_flight.len() - before);
 }
 
 #[test]
-fn own_zone_first_and_away_when_it_has_no_room() {
+fn own_zone_is_preferred_until_its_window_is_full() {
     let mut s = settings(&[Effect::Safe]);
     (s.zones, s.prices.cross_zone) = (2, 0.2);
     let servers = (0..4).map(|id| {
@@ -351,132 +357,132 @@
         e.zone = id / 2;
         e
     });
-    let mut world = World::new(s, servers.collect(), 3);
-    warm_up(&mut world, 0, 40, 20 * MS);
-    assert!(world.sends.keys().all(|id| *id < 2), "{:?}", world.sends);
+    let mut sim = Simulation::new(s, servers.collect(), 3);
+    serve_sequentially(&mut sim, 0, 40, 20 * MS);
+    assert!(sim.attempts.keys().all(|id| *id < 2), "{:?}", sim.attempts);
     for _ in 0..40 {
-        world.request(0);
+        sim.request(0);
     }
-    let until = world.now + 15 * MS;
-    world.run(until, |_| Some((SECOND, Outcome::Ok)));
-    assert!(world.sends.keys().any(|id| *id >= 2), "{:?}", world.sends);
+    let until = sim.now + 15 * MS;
+    sim.run(until, |_| Some((SECOND, Outcome::Ok)));
+    assert!(sim.attempts.keys().any(|id| *id >= 2), "{:?}", sim.attempts);
 }
 
 #[test]
-fn a_lost_zone_does_not_take_every_call_in_turn() {
-    // Its servers refuse connections at once: with a third of a zone ejected at most they looked free for ever.
+fn lost_zone_does_not_receive_every_call() {
+    // Its servers refuse connections immediately. With the usual limit on ejections most stayed in use and looked idle.
     let mut s = settings(&[Effect::Safe]);
     s.zones = 3;
     let servers = (0..24).map(|id| ServerEntry { zone: id / 8, ..ServerEntry::new(id) });
-    let mut world = World::new(s, servers.collect(), 3);
-    let play = |world: &mut World, n: u32| {
+    let mut sim = Simulation::new(s, servers.collect(), 3);
+    let play = |sim: &mut Simulation, n: u32| {
         for _ in 0..n {
-            world.request(0);
-            let until = world.now + 20 * MS;
-            world.run(until, |o| {
-                let lost = o.server < 8;
-                Some(if lost { (MS, Outcome::ConnectFailed) } else { (10 * MS, Outcome::Ok) })
+            sim.request(0);
+            let until = sim.now + 20 * MS;
+            sim.run(until, |o| {
+                let down = o.server < 8;
+                Some(if down { (MS, Outcome::ConnectFailed) } else { (10 * MS, Outcome::Ok) })
             });
         }
     };
-    play(&mut world, 60);
-    let lost = |world: &World| (0..8).filter_map(|id| world.sends.get(&id)).sum::<u32>();
-    let before = lost(&world);
-    play(&mut world, 100);
-    assert!(lost(&world) - before < 20, "{} more", lost(&world) - before);
+    play(&mut sim, 60);
+    let lost = |sim: &Simulation| (0..8).filter_map(|id| sim.attempts.get(&id)).sum::<u32>();
+    let before = lost(&sim);
+    play(&mut sim, 100);
+    assert!(lost(&sim) - before < 20, "{} more attempts to the lost zone", lost(&sim) - before);
 }
 
 #[test]
-fn a_lone_quiet_balancer_keeps_its_last_answers() {
-    let mut world = world(&[Effect::Safe], 3);
-    warm_up(&mut world, 0, 30, 50 * MS);
-    let until = world.now + 60 * SECOND;
-    world.run(until, |_| None);
-    world.request_with(0, 490 * MS);
-    let first = last_out(&world);
-    assert!(first.limit < 450 * MS, "room is kept for a retry's P50: {}", first.limit);
+fn samples_are_kept_at_low_traffic() {
+    let mut sim = simulation(&[Effect::Safe], 3);
+    serve_sequentially(&mut sim, 0, 30, 50 * MS);
+    let until = sim.now + 60 * SECOND;
+    sim.run(until, |_| None);
+    sim.request_with_time_left(0, 490 * MS);
+    let first = last_attempt(&sim);
+    assert!(first.limit < 450 * MS, "expected time reserved for a retry, limit is {}", first.limit);
 }
 
 #[test]
-fn balancers_that_outnumber_their_servers_pause() {
+fn balancers_that_outnumber_servers_pause_between_attempts() {
     let mut s = settings(&[Effect::Unsafe]);
     s.balancers = 100;
-    let mut world = World::new(s, (0..2).map(ServerEntry::new).collect(), 3);
+    let mut sim = Simulation::new(s, (0..2).map(ServerEntry::new).collect(), 3);
     let mut play = |n: u32| {
-        let before = world.sends.values().sum::<u32>();
+        let before = sim.attempts.values().sum::<u32>();
         for _ in 0..n {
-            world.request(0);
-            let until = world.now + 100 * MS;
-            world.run(until, |_| Some((380 * MS, Outcome::Ok)));
+            sim.request(0);
+            let until = sim.now + 100 * MS;
+            sim.run(until, |_| Some((380 * MS, Outcome::Ok)));
         }
-        world.sends.values().sum::<u32>() - before
+        sim.attempts.values().sum::<u32>() - before
     };
     play(200);
     let sent = play(100);
-    assert!(sent < 10, "one place without pauses would take twenty: {sent}");
+    assert!(sent < 10, "one attempt at a time without pauses would be twenty, sent {sent}");
 }
 
 #[test]
-fn the_window_holds_back_a_flood_and_worth_goes_first() {
+fn window_limits_a_flood_and_valuable_requests_go_first() {
     let mut s = settings(&[Effect::Safe, Effect::Safe]);
     s.classes[1].value = 10.0;
     s.goal = Goal { overall: 1.0, ..Goal::default() };
-    let mut world = World::new(s, (0..2).map(ServerEntry::new).collect(), 3);
+    let mut sim = Simulation::new(s, (0..2).map(ServerEntry::new).collect(), 3);
     for _ in 0..20 {
-        world.request(0);
-        world.request(1);
+        sim.request(0);
+        sim.request(1);
     }
-    assert!(world.out.len() < 20, "{} out", world.out.len());
-    let out = world.out[0].clone();
-    let actions = world.end(&out, Outcome::Ok);
-    let worthy = actions.iter().any(|a| matches!(a, Action::Send { request, .. } if request % 2 == 1));
-    assert!(worthy, "{actions:?}");
+    assert!(sim.in_flight.len() < 20, "{} in flight", sim.in_flight.len());
+    let out = sim.in_flight[0].clone();
+    let actions = sim.end_attempt(&out, Outcome::Ok);
+    let valuable_sent = actions.iter().any(|a| matches!(a, Action::Send { request, .. } if request % 2 == 1));
+    assert!(valuable_sent, "{actions:?}");
 }
 
 #[test]
-fn discovery_is_asked_within_its_span_and_again_after_a_failure() {
+fn watch_starts_within_the_interval_and_restarts_after_a_failure() {
     let mut s = settings(&[Effect::Safe]);
     s.discovery = DiscoveryMode::Pull;
-    let mut world = World::new(s, vec![ServerEntry::new(0)], 5);
-    let until = world.now + 10 * SECOND;
-    world.run(until, |_| None);
-    assert_eq!(world.asked, 1);
-    world.list(ListKind::Failed, Vec::new());
-    let until = world.now + 2 * SECOND;
-    world.run(until, |_| None);
-    assert_eq!(world.asked, 2);
+    let mut sim = Simulation::new(s, vec![ServerEntry::new(0)], 5);
+    let until = sim.now + 10 * SECOND;
+    sim.run(until, |_| None);
+    assert_eq!(sim.discovery_requests, 1);
+    sim.update_servers(ListKind::Failed, Vec::new());
+    let until = sim.now + 2 * SECOND;
+    sim.run(until, |_| None);
+    assert_eq!(sim.discovery_requests, 2);
 }
 
 #[test]
-fn a_complete_list_removes_what_it_does_not_name() {
-    let mut world = world(&[Effect::Safe], 3);
-    world.list(ListKind::Complete, vec![ServerEntry::new(1)]);
+fn complete_list_removes_missing_servers() {
+    let mut sim = simulation(&[Effect::Safe], 3);
+    sim.update_servers(ListKind::Complete, vec![ServerEntry::new(1)]);
     for _ in 0..5 {
-        world.request(0);
+        sim.request(0);
     }
-    assert_eq!(world.sends.keys().copied().collect::<Vec<_>>(), [1]);
+    assert_eq!(sim.attempts.keys().copied().collect::<Vec<_>>(), [1]);
 }
 
 #[test]
-fn unknown_things_are_passed_over() {
-    let mut world = world(&[Effect::Safe], 2);
+fn events_with_unknown_ids_are_ignored() {
+    let mut sim = simulation(&[Effect::Safe], 2);
     let (request, server) = (99, 77);
     let latency = MS;
     let outcome = Outcome::TimedOut;
-    world.handle(Event::ClientGone { request });
-    world.handle(Event::FirstByte { request, attempt: 3 });
-    world.handle(Event::Outcome { request, attempt: 0, server, outcome, latency, closed: false, load: None });
-    world.handle(Event::Probed { server, outcome, latency, load: None });
-    let id = world.request_with(0, 0);
-    assert!(world.failed.contains(&id) || world.refused.contains(&id));
+    sim.handle(Event::ClientGone { request });
+    sim.handle(Event::FirstByte { request, attempt: 3 });
+    sim.handle(Event::Outcome { request, attempt: 0, server, outcome, latency, closed: false, load: None });
+    sim.handle(Event::Probed { server, outcome, latency, load: None });
+    let id = sim.request_with_time_left(0, 0);
+    assert!(sim.failed.contains(&id) || sim.refused.contains(&id));
 }
 
 #[test]
-fn settings_that_make_no_sense_are_an_error() {
+fn invalid_settings_are_rejected() {
     let bad = |change: fn(&mut finchshift::Settings)| {
         let mut s = settings(&[Effect::Safe]);
         change(&mut s);
-        Balancer::new(s, 1).err().expect("an error").to_string()
+        Balancer::new(s, 1).err().expect("invalid settings").to_string()
     };
     assert!(bad(|s| s.classes.clear()).contains("no classes"));
     assert!(bad(|s| s.tier = 5).contains("tier"));
@@ -490,229 +496,229 @@
 }
 
 #[test]
-fn what_is_held_ends_in_time_where_looks_are_far_apart() {
-    // A look every 22 ms left answers 22 ms late where an answer after the aim still earns something.
+fn queued_requests_end_in_time_with_infrequent_sweeps() {
+    // With a sweep every 22 ms final answers were 22 ms late if an answer after the latency target still had a value.
     let mut s = settings(&[Effect::Unsafe]);
     (s.classes[0].latency_target, s.classes[0].deadline, s.classes[0].late_value_ratio) =
         (1_400 * MS, 3_600 * MS, 0.2);
     s.tick = 5 * MS;
-    let mut world = World::new(s, Vec::new(), 7);
+    let mut sim = Simulation::new(s, Vec::new(), 7);
     for left in 0..60 {
-        let id = world.request_with(0, left * 3 * MS);
-        let until = world.now + left * 3 * MS + 15 * MS;
-        world.run(until, |_| None);
-        assert!(!world.is_open(id), "held for {} ms and more", left * 3 + 15);
+        let id = sim.request_with_time_left(0, left * 3 * MS);
+        let until = sim.now + left * 3 * MS + 15 * MS;
+        sim.run(until, |_| None);
+        assert!(!sim.is_open(id), "queued for more than {} ms", left * 3 + 15);
     }
 }
 
 #[test]
-fn crowded_servers_close_the_window_long_before_the_aim() {
-    // Servers that slow down when crowded lose capacity while all answers still come within the aim.
-    let mut world = world(&[Effect::Safe], 6);
-    let flood = |world: &mut World, took: u64| {
+fn congested_servers_shrink_the_window_well_before_the_target() {
+    // Servers that slow down under load lose capacity while all answers are still within the latency target.
+    let mut sim = simulation(&[Effect::Safe], 6);
+    let flood = |sim: &mut Simulation, took: u64| {
         for _ in 0..400 {
-            world.request(0);
-            world.request(0);
-            let until = world.now + 10 * MS;
-            world.run(until, |_| Some((took, Outcome::Ok)));
+            sim.request(0);
+            sim.request(0);
+            let until = sim.now + 10 * MS;
+            sim.run(until, |_| Some((took, Outcome::Ok)));
         }
-        world.out.len()
+        sim.in_flight.len()
     };
-    let free = flood(&mut world, 20 * MS);
-    let crowded = flood(&mut world, 100 * MS);
-    assert!(free >= 2, "{free} out at once while answers are as quick as ever");
-    assert!(crowded < 10, "{crowded} out at once; two every 10 ms would be 20");
+    let free = flood(&mut sim, 20 * MS);
+    let congested = flood(&mut sim, 100 * MS);
+    assert!(free >= 2, "{free} in flight while answers are fast");
+    assert!(congested < 10, "{congested} in flight; without a limit it would be 20");
 }
 
 #[test]
-fn small_hinted_requests_are_given_time_to_wait() {
-    // A request of a fiftieth of the mean work waits in the same queues as the others.
-    let mut world = world(&[Effect::Safe], 4);
+fn small_requests_are_given_time_to_queue() {
+    // A request with 1/50 of the mean work waits in the same server queues as the others.
+    let mut sim = simulation(&[Effect::Safe], 4);
     let half = SECOND / 2;
     for _ in 0..160 {
-        world.request_hinted(0, half, Some(50 * MS));
-        let until = world.now + 51 * MS;
-        world.run(until, |_| Some((50 * MS, Outcome::Ok)));
+        sim.request_with_work(0, half, Some(50 * MS));
+        let until = sim.now + 51 * MS;
+        sim.run(until, |_| Some((50 * MS, Outcome::Ok)));
     }
-    world.request_hinted(0, half, Some(MS));
-    let limit = last_out(&world).limit;
-    assert!(limit > 18 * MS, "{limit} where P99 is 50 ms");
+    sim.request_with_work(0, half, Some(MS));
+    let limit = last_attempt(&sim).limit;
+    assert!(limit > 18 * MS, "limit {limit} us, P99 is 50 ms");
 }
 
 #[test]
-fn an_attempt_that_no_retry_may_follow_gets_more_than_p99() {
-    // Cut off at P99 at two tiers, one unsafe request in twenty was lost on a quiet day.
-    let mut world = world(&[Effect::Unsafe], 3);
-    warm_up(&mut world, 0, 160, 10 * MS);
-    world.request_with(0, 250 * MS);
-    let limit = last_out(&world).limit;
+fn attempt_without_retry_gets_more_than_p99() {
+    // With a limit of P99 at two tiers, 5% of the unsafe requests failed at low load.
+    let mut sim = simulation(&[Effect::Unsafe], 3);
+    serve_sequentially(&mut sim, 0, 160, 10 * MS);
+    sim.request_with_time_left(0, 250 * MS);
+    let limit = last_attempt(&sim).limit;
     assert!((27 * MS..36 * MS).contains(&limit), "{limit}");
 }
 
 #[test]
-fn a_heavy_request_keeps_its_time_where_a_retry_would_not_fit() {
-    let mut world = world(&[Effect::Safe], 3);
-    warm_up(&mut world, 0, 30, 50 * MS);
-    world.request_with(0, 290 * MS);
-    assert_eq!(last_out(&world).limit, 290 * MS, "room for a retry would leave less than five P50");
-    world.request_with(0, 480 * MS);
-    assert!(last_out(&world).limit < 435 * MS, "with more there is room for both");
+fn large_request_gets_all_its_time_if_a_retry_does_not_fit() {
+    let mut sim = simulation(&[Effect::Safe], 3);
+    serve_sequentially(&mut sim, 0, 30, 50 * MS);
+    sim.request_with_time_left(0, 290 * MS);
+    assert_eq!(last_attempt(&sim).limit, 290 * MS, "time for a retry would leave less than five P50");
+    sim.request_with_time_left(0, 480 * MS);
+    assert!(last_attempt(&sim).limit < 435 * MS, "enough time for both attempts");
 }
 
 #[test]
-fn a_server_that_fails_one_class_keeps_the_others() {
-    // Each success of another class closed the count, so the failing class went there for ever.
-    let mut world = world(&[Effect::Safe, Effect::Safe], 4);
+fn server_that_fails_one_class_still_serves_others() {
+    // Each success of another class reset the failure count, so the failing class kept using the server.
+    let mut sim = simulation(&[Effect::Safe, Effect::Safe], 4);
     let mut play = |n: u64| {
         let mut failing = 0;
         for i in 0..n {
-            world.request((i % 2) as usize);
-            let out = last_out(&world);
-            let ill = out.server == 2 && i % 2 == 1;
-            failing += u32::from(ill);
-            let until = world.now + 10 * MS;
-            world.run(until, |o| {
-                let ill = o.server == 2 && o.request == out.request && ill;
-                Some((5 * MS, if ill { Outcome::Error } else { Outcome::Ok }))
+            sim.request((i % 2) as usize);
+            let out = last_attempt(&sim);
+            let fails = out.server == 2 && i % 2 == 1;
+            failing += u32::from(fails);
+            let until = sim.now + 10 * MS;
+            sim.run(until, |o| {
+                let fails = o.server == 2 && o.request == out.request && fails;
+                Some((5 * MS, if fails { Outcome::Error } else { Outcome::Ok }))
             });
-            let until = world.now + 20 * MS;
-            world.run(until, |_| Some((5 * MS, Outcome::Ok)));
+            let until = sim.now + 20 * MS;
+            sim.run(until, |_| Some((5 * MS, Outcome::Ok)));
         }
         failing
     };
     play(100);
     let failing = play(400);
-    assert!(failing < 12, "{failing} of about 50");
-    let served = world.sends[&2];
-    assert!(served > 60, "the other class still goes there: {served}");
+    assert!(failing < 12, "{failing} of about 50 calls of the failing class");
+    let served = sim.attempts[&2];
+    assert!(served > 60, "the other class still uses the server: {served}");
 }
 
 #[test]
-fn a_window_under_its_part_opens_faster_than_one_above() {
-    // Windows that grew alike whatever their size left all places to the balancers that had them.
-    let mut world = world(&[Effect::Safe], 6);
-    let flood = |world: &mut World, n: u32, took: u64| {
+fn window_below_its_fair_size_grows_faster() {
+    // Windows that grew at the same rate whatever their size left all capacity to the balancers that had it.
+    let mut sim = simulation(&[Effect::Safe], 6);
+    let flood = |sim: &mut Simulation, n: u32, took: u64| {
         let mut most = 0;
         for _ in 0..n {
             for _ in 0..3 {
-                world.request(0);
+                sim.request(0);
             }
-            most = world.out.len();
-            let until = world.now + 10 * MS;
-            world.run(until, |_| Some((took, Outcome::Ok)));
+            most = sim.in_flight.len();
+            let until = sim.now + 10 * MS;
+            sim.run(until, |_| Some((took, Outcome::Ok)));
         }
         most
     };
-    flood(&mut world, 60, 20 * MS);
-    assert!(flood(&mut world, 300, 200 * MS) < 10, "closed by answers ten times as slow");
-    let end = world.now + SECOND;
-    world.run(end, |_| Some((20 * MS, Outcome::Ok)));
-    flood(&mut world, 15, 20 * MS);
+    flood(&mut sim, 60, 20 * MS);
+    assert!(flood(&mut sim, 300, 200 * MS) < 10, "ten times slower answers shrink the window");
+    let end = sim.now + SECOND;
+    sim.run(end, |_| Some((20 * MS, Outcome::Ok)));
+    flood(&mut sim, 15, 20 * MS);
     for _ in 0..30 {
-        world.request(0);
+        sim.request(0);
     }
-    assert!(world.out.len() >= 9, "{} out at once after half a second", world.out.len());
+    assert!(sim.in_flight.len() >= 9, "{} in flight after half a second", sim.in_flight.len());
 }
 
 #[test]
-fn a_large_fleet_is_left_alone_while_a_preferred_server_is_free() {
-    // Ranking all servers for each call cost one deployment its limit on processing time.
+fn only_preferred_servers_are_used_while_one_is_idle() {
+    // Ranking all servers for each call exceeded the CPU limit of one deployment.
     let mut s = settings(&[Effect::Safe]);
     s.balancers = 40;
-    let mut world = World::new(s, (0..160).map(ServerEntry::new).collect(), 3);
-    warm_up(&mut world, 0, 400, 10 * MS);
-    assert_eq!(world.sends.len(), 16, "four balancers prefer each server");
+    let mut sim = Simulation::new(s, (0..160).map(ServerEntry::new).collect(), 3);
+    serve_sequentially(&mut sim, 0, 400, 10 * MS);
+    assert_eq!(sim.attempts.len(), 16, "each server is preferred by four balancers");
     for _ in 0..60 {
         for _ in 0..20 {
-            world.request(0);
+            sim.request(0);
         }
-        let until = world.now + 10 * MS;
-        world.run(until, |_| Some((10 * MS, Outcome::Ok)));
+        let until = sim.now + 10 * MS;
+        sim.run(until, |_| Some((10 * MS, Outcome::Ok)));
     }
-    assert!(world.sends.len() > 16, "with calls at all preferred ones the others are as good");
+    assert!(sim.attempts.len() > 16, "busy preferred servers make the others equally good");
 }
 
 #[test]
-fn a_server_that_turns_calls_away_is_left_alone_for_a_while() {
-    // It answers at once, so it always had fewest calls in flight and drew most of the traffic.
-    let mut world = world(&[Effect::Unsafe], 4);
-    warm_up(&mut world, 0, 200, 20 * MS);
-    let before = world.sends.clone();
+fn server_that_rejects_calls_is_avoided_for_a_while() {
+    // It answers immediately, so it always had the fewest calls in flight and got most of the traffic.
+    let mut sim = simulation(&[Effect::Unsafe], 4);
+    serve_sequentially(&mut sim, 0, 200, 20 * MS);
+    let before = sim.attempts.clone();
     for _ in 0..200 {
-        world.request(0);
-        let until = world.now + 5 * MS;
-        world.run(until, |o| Some(if o.server == 1 { (MS, Outcome::Full) } else { (20 * MS, Outcome::Ok) }));
+        sim.request(0);
+        let until = sim.now + 5 * MS;
+        sim.run(until, |o| Some(if o.server == 1 { (MS, Outcome::Full) } else { (20 * MS, Outcome::Ok) }));
     }
-    let full = world.sends[&1] - before[&1];
-    assert!(full < 25, "{full} calls in a second to a server that takes none");
-    let before = world.sends[&1];
-    warm_up(&mut world, 0, 100, 20 * MS);
-    assert!(world.sends[&1] > before + 10, "it is back once it takes calls");
+    let full = sim.attempts[&1] - before[&1];
+    assert!(full < 25, "{full} calls in a second to a server that rejects all");
+    let before = sim.attempts[&1];
+    serve_sequentially(&mut sim, 0, 100, 20 * MS);
+    assert!(sim.attempts[&1] > before + 10, "the server is used again once it accepts calls");
 }
 
 #[test]
-fn a_class_of_far_more_worth_passes_a_full_window() {
+fn priority_class_may_exceed_a_full_window() {
     let mut s = settings(&[Effect::Safe, Effect::Safe]);
     s.classes[1].value = 12.0;
-    let mut world = World::new(s, (0..4).map(ServerEntry::new).collect(), 3);
+    let mut sim = Simulation::new(s, (0..4).map(ServerEntry::new).collect(), 3);
     for _ in 0..40 {
-        world.request(0);
+        sim.request(0);
     }
-    let full = world.out.len();
+    let full = sim.in_flight.len();
     assert!(full < 30, "the window is full");
     for _ in 0..4 {
-        let id = world.request(1);
-        assert!(world.out.iter().any(|o| o.request == id), "sent at once");
+        let id = sim.request(1);
+        assert!(sim.in_flight.iter().any(|o| o.request == id), "sent immediately");
     }
-    world.request(0);
-    assert_eq!(world.out.len(), full + 4, "the other class still waits");
+    sim.request(0);
+    assert_eq!(sim.in_flight.len(), full + 4, "the other class is still queued");
 }
 
 #[test]
-fn silent_servers_are_found_before_p99_is_known() {
-    // Bound by the caller's time alone, their time-outs looked like the caller's expiry and tripped nothing.
+fn unresponsive_servers_are_ejected_before_p99_is_known() {
+    // Attempts limited only by the caller's deadline timed out without being counted as server failures.
     let mut s = settings(&[Effect::Unsafe]);
     s.classes[0].late_value_ratio = 0.2;
-    let mut world = World::new(s, (0..4).map(ServerEntry::new).collect(), 7);
-    let mut silent = |n: u32| {
-        let before = world.sends.get(&2).copied().unwrap_or(0);
+    let mut sim = Simulation::new(s, (0..4).map(ServerEntry::new).collect(), 7);
+    let mut attempts_to_silent = |n: u32| {
+        let before = sim.attempts.get(&2).copied().unwrap_or(0);
         for _ in 0..n {
-            world.request(0);
-            let until = world.now + 500 * MS;
-            world.run(until, |o| (o.server != 2).then_some((50 * MS, Outcome::Ok)));
+            sim.request(0);
+            let until = sim.now + 500 * MS;
+            sim.run(until, |o| (o.server != 2).then_some((50 * MS, Outcome::Ok)));
         }
-        world.sends.get(&2).copied().unwrap_or(0) - before
+        sim.attempts.get(&2).copied().unwrap_or(0) - before
     };
-    silent(60);
-    let later = silent(60);
-    assert!(later <= 8, "{later} of 60 calls went to a server that answers none");
+    attempts_to_silent(60);
+    let later = attempts_to_silent(60);
+    assert!(later <= 8, "{later} of 60 calls went to an unresponsive server");
 }
 
 #[test]
-fn idle_connections_that_swallow_calls_are_closed_before_use() {
-    // Something between drops connections unseen after a while without use: the servers are healthy.
+fn dead_idle_connections_are_closed_before_use() {
+    // A middlebox silently drops idle connections; the servers are healthy.
     let mut s = settings(&[Effect::Safe]);
     s.classes[0].deadline = 20 * SECOND;
-    let mut world = World::new(s, (0..12).map(ServerEntry::new).collect(), 7);
-    warm_up(&mut world, 0, 200, 10 * MS);
-    let mut works = std::collections::BTreeSet::new();
+    let mut sim = Simulation::new(s, (0..12).map(ServerEntry::new).collect(), 7);
+    serve_sequentially(&mut sim, 0, 200, 10 * MS);
+    let mut fresh_requests = std::collections::BTreeSet::new();
     let mut play = |n: u32| {
         let mut fresh = 0;
         for _ in 0..n {
-            let from = world.trace.len();
-            let id = world.request(0);
-            let closed = world.trace[from..].iter().any(|(_, a)| matches!(a, Action::CloseIdle { .. }));
+            let from = sim.trace.len();
+            let id = sim.request(0);
+            let closed = sim.trace[from..].iter().any(|(_, a)| matches!(a, Action::CloseIdle { .. }));
             fresh += u32::from(closed);
             if closed {
-                works.insert(id);
+                fresh_requests.insert(id);
             }
-            let end = world.now + 800 * MS;
-            world.run(end, |o| {
-                (o.attempt == 0 && works.contains(&o.request)).then_some((10 * MS, Outcome::Ok))
+            let end = sim.now + 800 * MS;
+            sim.run(end, |o| {
+                (o.number == 0 && fresh_requests.contains(&o.request)).then_some((10 * MS, Outcome::Ok))
             });
         }
         fresh
     };
-    assert_eq!(play(2), 0, "two losses may be chance");
-    assert!(play(60) > 0, "an idle connection is closed before the next call on it");
+    assert_eq!(play(2), 0, "two lost calls may be chance");
+    assert!(play(60) > 0, "idle connections are closed before the next call");
 }
--- a/tests/module_size.rs
+++ b/tests/module_size.rs
@@ -1,13 +1,13 @@
-//! The decision module is read aloud line by line: it stays short enough for that.
+//! The decision module is reviewed line by line, so its size is limited.
 
-/// Raised by what a mend truly needs, never past 1,200.
-const MOST_LINES: usize = 1_200;
+/// Maximum number of non-blank lines; it must not be raised.
+const MAX_LINES: usize = 1_200;
 const MODULE: &str = include_str!("../src/brain.rs");
 
 #[test]
-fn the_module_stays_within_its_lines_of_110_characters() {
+fn module_stays_within_its_size_limits() {
     let lines = MODULE.lines().filter(|l| !l.trim().is_empty()).count();
-    assert!(lines <= MOST_LINES, "{lines} lines that are not blank");
+    assert!(lines <= MAX_LINES, "{lines} non-blank lines, limit is {MAX_LINES}");
     for (number, line) in MODULE.lines().enumerate() {
         let length = line.chars().count();
         assert!(length <= 110, "line {} has {length} characters", number + 1);
@@ -15,6 +15,6 @@
 }
 
 #[test]
-fn the_head_of_the_module_names_the_interface() {
+fn first_line_of_the_module_names_the_interface() {
     assert!(MODULE.lines().next().is_some_and(|l| l.contains("api.rs")));
 }
--- a/tests/reconfigure.rs
+++ b/tests/reconfigure.rs
@@ -1,78 +1,78 @@
-//! New settings under way: what was learned stays, and what is open keeps its class.
+//! Changes of the settings of a running balancer: learned state is kept, and open requests keep their class.
 
 mod common;
 
-use common::{MS, SECOND, World, class, settings, warm_up, world};
+use common::{MS, SECOND, Simulation, class, serve_sequentially, settings, simulation};
 use finchshift::{Effect, Outcome};
 
-/// Takes over new settings, in the checker too.
-fn take(world: &mut World, settings: finchshift::Settings, learned: &[Option<usize>]) {
-    world.balancer.reconfigure(settings.clone(), learned).expect("the settings make sense");
-    world.settings = settings;
+/// Applies new settings to the balancer and to the simulation's checks.
+fn reconfigure(sim: &mut Simulation, settings: finchshift::Settings, map: &[Option<usize>]) {
+    sim.balancer.reconfigure(settings.clone(), map).expect("valid settings");
+    sim.settings = settings;
 }
 
 #[test]
-fn a_class_that_is_added_begins_with_what_another_learned() {
-    let mut world = world(&[Effect::Safe], 3);
-    warm_up(&mut world, 0, 160, 10 * MS);
+fn added_class_inherits_learned_state() {
+    let mut sim = simulation(&[Effect::Safe], 3);
+    serve_sequentially(&mut sim, 0, 160, 10 * MS);
     let mut new = settings(&[Effect::Safe, Effect::Safe, Effect::Safe]);
-    // One of them is slower than the aim allows for: unlearned, only its time bounds it.
+    // The third class has a shorter latency target and inherits nothing.
     new.classes[2].latency_target = 100 * MS;
-    take(&mut world, new, &[Some(0), Some(0), None]);
+    reconfigure(&mut sim, new, &[Some(0), Some(0), None]);
     let mut limit = |class| {
-        world.request(class);
-        world.out.last().expect("an attempt").limit
+        sim.request(class);
+        sim.in_flight.last().expect("attempt in flight").limit
     };
     let (kept, copied) = (limit(0), limit(1));
     assert!((9 * MS..13 * MS).contains(&kept) && copied == kept, "{kept} {copied}");
 }
 
 #[test]
-fn an_unsafe_class_keeps_what_is_out_when_the_settings_change() {
-    let mut world = world(&[Effect::Unsafe], 3);
-    let id = world.request(0);
-    let out = world.out[0].clone();
-    // The class of that name is safe from now on: it has another number.
-    take(&mut world, settings(&[Effect::Unsafe, Effect::Safe]), &[Some(0), Some(0)]);
-    world.now += 50 * MS;
-    world.end(&out, Outcome::Reset);
-    world.run(world.now + 3 * SECOND, |_| Some((10 * MS, Outcome::Ok)));
-    assert!(world.failed.contains(&id) && world.sends.values().sum::<u32>() == 1, "sent again or refused");
+fn attempt_in_flight_stays_unsafe_when_its_class_becomes_safe() {
+    let mut sim = simulation(&[Effect::Unsafe], 3);
+    let id = sim.request(0);
+    let out = sim.in_flight[0].clone();
+    // The class of that name becomes safe, so it gets a new index.
+    reconfigure(&mut sim, settings(&[Effect::Unsafe, Effect::Safe]), &[Some(0), Some(0)]);
+    sim.now += 50 * MS;
+    sim.end_attempt(&out, Outcome::Reset);
+    sim.run(sim.now + 3 * SECOND, |_| Some((10 * MS, Outcome::Ok)));
+    assert!(sim.failed.contains(&id) && sim.attempts.values().sum::<u32>() == 1, "retried or refused");
 }
 
 #[test]
-fn breakers_stay_open_and_held_requests_stay_held() {
-    let mut world = world(&[Effect::Safe], 4);
-    warm_up(&mut world, 0, 40, 10 * MS);
-    // One server breaks every connection until it is ejected.
-    let bad =
-        |o: &common::Out| Some(if o.server == 0 { (MS, Outcome::Reset) } else { (10 * MS, Outcome::Ok) });
+fn open_breakers_and_queued_requests_are_kept() {
+    let mut sim = simulation(&[Effect::Safe], 4);
+    serve_sequentially(&mut sim, 0, 40, 10 * MS);
+    // Server 0 resets every connection until it is ejected.
+    let served =
+        |o: &common::Attempt| Some(if o.server == 0 { (MS, Outcome::Reset) } else { (10 * MS, Outcome::Ok) });
     for _ in 0..200 {
-        world.request(0);
-        world.run(world.now + 30 * MS, bad);
+        sim.request(0);
+        sim.run(sim.now + 30 * MS, served);
     }
-    world.sends.clear();
-    // Held where no server is ready.
-    let ids: Vec<_> = (0..200).map(|_| world.request(0)).collect();
-    let held = ids.len() - world.out.len() - world.refused.len() - world.failed.len();
-    assert!(held > 0, "nothing is held");
-    let given_up = world.refused.len() + world.failed.len();
+    sim.attempts.clear();
+    // More requests than the window allows: some are queued.
+    let ids: Vec<_> = (0..200).map(|_| sim.request(0)).collect();
+    let queued = ids.len() - sim.in_flight.len() - sim.refused.len() - sim.failed.len();
+    assert!(queued > 0, "no request is queued");
+    let unserved = sim.refused.len() + sim.failed.len();
     let mut new = settings(&[Effect::Safe]);
     new.classes[0].value = 2.0;
-    take(&mut world, new, &[Some(0)]);
-    world.run(world.now + 400 * MS, bad);
-    let sent: u32 = world.sends.values().sum();
-    assert!(sent as usize > 0 && !world.sends.contains_key(&0), "{:?}", world.sends);
-    assert!(ids.iter().all(|id| !world.is_open(*id)), "{given_up} given up before");
+    reconfigure(&mut sim, new, &[Some(0)]);
+    sim.run(sim.now + 400 * MS, served);
+    let sent: u32 = sim.attempts.values().sum();
+    assert!(sent as usize > 0 && !sim.attempts.contains_key(&0), "{:?}", sim.attempts);
+    assert!(ids.iter().all(|id| !sim.is_open(*id)), "{unserved} unserved before the change");
 }
 
 #[test]
-fn settings_that_make_no_sense_change_nothing() {
-    let mut world = world(&[Effect::Safe], 3);
-    warm_up(&mut world, 0, 160, 10 * MS);
-    let mut wrong = settings(&[Effect::Safe]);
-    wrong.classes[0] = finchshift::Class { latency_target: 0, ..class(Effect::Safe) };
-    assert!(world.balancer.reconfigure(wrong, &[Some(0)]).is_err());
-    world.request(0);
-    assert!(world.out[0].limit < 13 * MS, "{}", world.out[0].limit);
+fn invalid_settings_change_nothing() {
+    let mut sim = simulation(&[Effect::Safe], 3);
+    serve_sequentially(&mut sim, 0, 160, 10 * MS);
+    let mut invalid = settings(&[Effect::Safe]);
+    invalid.classes[0] = finchshift::Class { latency_target: 0, ..class(Effect::Safe) };
+    assert!(sim.balancer.reconfigure(invalid, &[Some(0)]).is_err());
+    sim.request(0);
+    assert!(sim.in_flight[0].limit < 13 * MS, "{}", sim.in_flight[0].limit);
 }
