--- a/src/brain.rs
+++ b/src/brain.rs
@@ -44,21 +44,21 @@
 const RETRY_BUDGET_RATIO: f64 = 0.1;
 /// Minimum cap of the retry budget; wide windows raise it, since a hiccup ends all attempts in flight.
 const MIN_RETRY_BUDGET_CAP: f64 = 5.0;
-/// An answer that used more than this share of its time for queueing is late: it queued too long.
+/// An answer is late if queueing takes more than this share of the time that the latency target leaves.
 const MAX_QUEUEING_SHARE: f64 = 0.7;
 /// Share of late answers above which the window shrinks.
 const LATE_SHARE: f64 = 0.25;
-/// The window also shrinks when half of the answers take more than this multiple of the lowest recent P50.
+/// The window shrinks if half of the answers take more than this multiple of the lowest recent P50.
 const CONGESTION_P50_RATIO: f64 = 1.25;
-/// Share of the target below which latency is no congestion: P50 of a fast service doubles without queues.
+/// Share of the latency target below which an answer is never congested: a fast P50 doubles without queues.
 const MIN_CONGESTION_SHARE: f64 = 0.02;
 /// Growth of the lowest recent P50 per half-life, so that it adapts to a changed fleet.
 const MIN_P50_GROWTH: f64 = 1.05;
-/// Latency ratio, in initial windows per server, at which a class's latencies are learned from scratch.
+/// A class's latencies are learned from scratch when they change by this multiple of `INITIAL_WINDOW`.
 const SHIFT_WINDOW_DEPTHS: f64 = 4.0;
 /// A rise in latency counts as a shift only while no window exceeds this multiple of its fair size.
 const MAX_SHIFT_WINDOW_RATIO: f64 = 2.0;
-/// An answer within this share of the latency target grows a full window faster. Assumed latency if unknown.
+/// An answer within this share of the latency target grows a full window more. Also the initial estimate.
 const FAST_SHARE: f64 = 0.1;
 /// Base change of the window per answer.
 const WINDOW_GAIN: f64 = 0.5;
@@ -66,9 +66,9 @@
 const INITIAL_WINDOW: f64 = 4.0;
 /// Extra window for each tier below, as a share of the initial window: calls stay open while it works.
 const TIER_ALLOWANCE: f64 = 0.75;
-/// The same allowance for initial windows, before answers show how much is queued.
+/// Extra window for each tier below while a window is new, as a share of it: before answers show queueing.
 const FIRST_ALLOWANCE: f64 = 0.25;
-/// Maximum factor by which growth is raised below the fair window, and lowered above it.
+/// Maximum factor by which a window's growth is raised below its fair size, and lowered above it.
 const MAX_WINDOW_BIAS: f64 = 3.0;
 /// Minimum window in attempts. A window below 1 allows one attempt at a time, with pauses.
 const MIN_WINDOW: f64 = 0.05;
@@ -76,17 +76,18 @@
 const BALANCERS_PER_SERVER: f64 = 4.0;
 /// Calls in flight that are added to the score of a server that is not preferred.
 const NON_PREFERRED_PENALTY: f64 = 1.0;
-/// Phase step between balancers with adjacent indices: multiples of the golden ratio spread evenly.
+/// Phase step between adjacent balancers, in intervals: multiples of the golden ratio spread evenly.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
-/// Maximum number of servers of a zone ranked per call; in larger zones a random range of the preferred.
+/// Maximum number of servers of a zone ranked per call, from a random one if more are preferred.
 const MAX_RANKED_SERVERS: usize = 32;
-/// Probability of a run of chance failures below which the run ejects a server.
-const FALSE_EJECTION_RATE: f64 = 0.01;
+/// A run of failures ejects a server if its probability by chance is below this.
+const MAX_CHANCE: f64 = 0.01;
 /// Mean time that a breaker stays open, in longest deadlines.
 const OPEN_DEADLINES: f64 = 1.0;
 /// Idle connections are closed before a call if more than this share of calls on similarly idle ones failed.
 const MAX_IDLE_FAILURE_SHARE: f64 = 0.5;
-/// Same limit for immediate resets before unsafe calls: a new connection costs less than a lost call.
+/// Idle connections are closed before an unsafe call if more than this share of calls on similar ones broke
+/// at once: a new connection costs less than a lost call.
 const MAX_IDLE_RESET_SHARE: f64 = 0.1;
 /// A reset within this share of P50 means a dead idle connection; a later one had reached the server.
 const STALE_RESET_P50S: f64 = 0.1;
@@ -95,29 +96,29 @@
 /// Mean time without calls for a server that rejected one, in P50s.
 const REJECTION_PAUSE_P50S: f64 = 2.0;
 /// Maximum share of servers that may be ejected.
-const MAX_EJECTED: f64 = 0.34;
-/// Maximum share of servers that may be ejected when one fails to accept connections.
-const MAX_UNREACHABLE: f64 = 0.67;
-/// Window of the priority class, in windows: long calls of low value would occupy a small window.
+const MAX_EJECTED_SHARE: f64 = 0.34;
+/// Maximum share of servers that may be ejected if the failing one accepts no connections.
+const MAX_OFFLINE_SHARE: f64 = 0.67;
+/// Window of the priority class as a multiple of the normal one: long calls of low value fill a small window.
 const PRIORITY_WINDOW: f64 = 2.0;
 /// A class has priority if its value per work is more than this multiple of the next class's.
 const PRIORITY_VALUE_RATIO: f64 = 2.0;
-/// Maximum number of queued requests per attempt in the window.
-const QUEUED_PER_PLACE: f64 = 4.0;
-/// If more: as many queued requests as the window serves in this share of the shortest latency target.
+/// The queue may hold at least this many requests per attempt in the window.
+const QUEUED_PER_ATTEMPT: f64 = 4.0;
+/// The queue may hold at least what the window serves within this share of the shortest latency target.
 const QUEUED_TARGET_SHARE: f64 = 0.05;
-/// Minimum limit on the number of queued requests.
+/// The queue may always hold this many requests.
 const MIN_QUEUE_CAPACITY: usize = 16;
-/// Sweeps of the queued requests per shortest latency target.
+/// Number of sweeps of the queued requests per shortest latency target.
 const SWEEPS_PER_TARGET: u64 = 64;
-/// Rounds of housekeeping per longest deadline.
+/// Number of rounds of housekeeping per longest deadline.
 const HOUSEKEEPING_PER_DEADLINE: u64 = 16;
 /// Maximum random delay of the first watch of discovery, as a share of the discovery interval.
 const MAX_FIRST_WATCH: f64 = 0.9;
-/// Same delay per balancer: a few balancers need not spread their first watches like hundreds.
+/// Delay of the first watch per balancer, as a share of the discovery interval: a few need little spread.
 const FIRST_WATCH_PER_BALANCER: f64 = 0.0025;
-/// Maximum random delay of a new watch after a failure, as a share of the discovery interval.
-const WATCH_RETRY: f64 = 0.4;
+/// Maximum random delay of a new watch after a failed one, as a share of the discovery interval.
+const WATCH_RETRY_SHARE: f64 = 0.4;
 
 const SWEEP_TOKEN: u64 = 1;
 const HOUSEKEEPING_TOKEN: u64 = 2;
@@ -591,7 +592,7 @@
     fn bound_queue(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let window: f64 = self.pools.values().map(|p| p.window).sum();
         let rounds = (self.sweep_interval * SWEEPS_PER_TARGET) as f64 * QUEUED_TARGET_SHARE / self.pooled.p50;
-        let rounds = if self.pooled.p50 > 0.0 { rounds.max(QUEUED_PER_PLACE) } else { QUEUED_PER_PLACE };
+        let rounds = if self.pooled.p50 > 0.0 { rounds.max(QUEUED_PER_ATTEMPT) } else { QUEUED_PER_ATTEMPT };
         let max = ((window * rounds) as usize).max(MIN_QUEUE_CAPACITY);
         if self.classes.iter().map(|c| c.queued.len()).sum::<usize>() > max {
             let order = self.class_order();
@@ -1026,8 +1027,8 @@
         // servers fail independently of the others, and may be most of the fleet.
         let unreached = outcome == Outcome::ConnectFailed;
         let (max, rate) =
-            if unreached { (MAX_UNREACHABLE, FALSE_EJECTION_RATE) } else { (MAX_EJECTED, self.failure_rate) };
-        let needed = (FALSE_EJECTION_RATE.ln() / rate.clamp(0.01, 0.5).ln()).max(2.0);
+            if unreached { (MAX_OFFLINE_SHARE, MAX_CHANCE) } else { (MAX_EJECTED_SHARE, self.failure_rate) };
+        let needed = (MAX_CHANCE.ln() / rate.clamp(0.01, 0.5).ln()).max(2.0);
         let breakers = [Some(0), class.map(|c| c + 1)].into_iter().flatten();
         let at_limit = |at: usize| failed && server.breakers[at].failures as f64 + 1.0 >= needed;
         let may_eject = server.is_ejected()
@@ -1058,7 +1059,7 @@
 
     fn listed(&mut self, now: Micros, kind: ListKind, entries: Vec<ServerEntry>, actions: &mut Vec<Action>) {
         if kind == ListKind::Failed {
-            self.schedule_watch(self.settings.rules.discovery_interval as f64 * WATCH_RETRY, actions);
+            self.schedule_watch(self.settings.rules.discovery_interval as f64 * WATCH_RETRY_SHARE, actions);
             return;
         }
         let gone = entries.iter().filter(|e| e.state == ServerState::Gone).map(|e| e.id);
