--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -143,8 +143,8 @@
             let (mut changed, mut added, mut complete) = (Vec::new(), Vec::new(), Vec::new());
             for n in 0..101 {
                 let state = if n % 2 == 0 { ServerState::Draining } else { ServerState::Ready };
-                let ring = 7_u64.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-                let entry = ServerEntry { state, ring_hash: ring, ..ServerEntry::new(7) };
+                let ring_hash = 7_u64.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+                let entry = ServerEntry { state, ring_hash, ..ServerEntry::new(7) };
                 changed.push(timed(&mut sim, ListKind::Changes, vec![entry]));
                 added.push(timed(&mut sim, ListKind::Changes, vec![ServerEntry::new(servers + n)]));
             }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -12,8 +12,8 @@
 
 #[test]
 fn pool_with_only_cold_servers_serves_immediately() {
-    let started = Some(1_000 * SECOND);
-    let servers = (0..2).map(|id| ServerEntry { started_at: started, ..ServerEntry::new(id) }).collect();
+    let started_at = Some(1_000 * SECOND);
+    let servers = (0..2).map(|id| ServerEntry { started_at, ..ServerEntry::new(id) }).collect();
     let mut sim = Simulation::new(settings(&[Effect::Unsafe]), servers, 7);
     serve_sequentially(&mut sim, 0, 50, 5 * MS);
     assert!(sim.refused.is_empty() && sim.failed.is_empty(), "{:?}", sim.refused);
@@ -70,42 +70,36 @@
         let until = sim.now + 100 * SECOND;
         sim.run(until, |_| None);
         let id = if known { 0 } else { 9 };
-        let started = Some(sim.now + ahead - if behind > 0 { sim.now - behind } else { 0 });
-        sim.update_servers(
-            ListKind::Changes,
-            vec![ServerEntry { started_at: started, ..ServerEntry::new(id) }],
-        );
+        let started_at = Some(sim.now + ahead - if behind > 0 { sim.now - behind } else { 0 });
+        sim.update_servers(ListKind::Changes, vec![ServerEntry { started_at, ..ServerEntry::new(id) }]);
         let cold = sim.balancer.cold_servers(sim.now);
         let share = sim.settings.rules.initial_capacity_share;
         assert!(
             cold.len() == 1 && cold[0].0 == id && (cold[0].1 - share).abs() < 1e-9,
-            "{started:?}: {cold:?}"
+            "{started_at:?}: {cold:?}"
         );
         // The same entry again does not restart the warm-up.
         let until = sim.now + warm_after / 2;
         sim.run(until, |_| None);
-        sim.update_servers(
-            ListKind::Changes,
-            vec![ServerEntry { started_at: started, ..ServerEntry::new(id) }],
-        );
-        assert!(sim.balancer.cold_servers(sim.now)[0].1 > share, "{started:?}");
+        sim.update_servers(ListKind::Changes, vec![ServerEntry { started_at, ..ServerEntry::new(id) }]);
+        assert!(sim.balancer.cold_servers(sim.now)[0].1 > share, "{started_at:?}");
         let until = sim.now + warm_after / 2;
         sim.run(until, |_| None);
-        assert!(sim.balancer.cold_servers(sim.now).is_empty(), "{started:?}");
+        assert!(sim.balancer.cold_servers(sim.now).is_empty(), "{started_at:?}");
         serve_sequentially(&mut sim, 0, 100, 5 * MS);
-        assert!(sim.attempts.get(&id).is_some_and(|n| *n >= 5), "{started:?}: {:?}", sim.attempts);
+        assert!(sim.attempts.get(&id).is_some_and(|n| *n >= 5), "{started_at:?}: {:?}", sim.attempts);
     }
 }
 
 /// The count of abandoned attempts decays and never reaches zero: it must not block a pool of cold servers for good.
 #[test]
 fn timeout_does_not_block_an_all_cold_pool() {
-    let started = Some(1_000 * SECOND);
+    let started_at = Some(1_000 * SECOND);
     let mut set = settings(&[Effect::Safe]);
     // The window is a fraction of one attempt, which must not be rounded down to zero.
     set.balancers = 8;
     set.rules.warm_up_time = 200 * SECOND;
-    let servers = (0..2).map(|id| ServerEntry { started_at: started, ..ServerEntry::new(id) }).collect();
+    let servers = (0..2).map(|id| ServerEntry { started_at, ..ServerEntry::new(id) }).collect();
     let mut sim = Simulation::new(set, servers, 7);
     let until = sim.now + SECOND;
     sim.run(until, |_| None);
@@ -157,18 +151,18 @@
     ];
     let starts = [None, Some(0), Some(1), Some(1_000 * SECOND), Some(u64::MAX)];
     for (what, change) in extreme {
-        for started in starts {
+        for started_at in starts {
             let mut settings = settings(&[Effect::Safe]);
             change(&mut settings);
             let warm_after = settings.rules.warm_up_time;
             let server = |id| ServerEntry { zone: id % 2, ring_hash: u64::MAX, ..ServerEntry::new(id) };
             let mut sim = Simulation::new(settings, (0..2).map(server).collect(), 5);
             serve_sequentially(&mut sim, 0, 20, 5 * MS);
-            sim.update_servers(ListKind::Changes, vec![ServerEntry { started_at: started, ..server(2) }]);
+            sim.update_servers(ListKind::Changes, vec![ServerEntry { started_at, ..server(2) }]);
             let until = sim.now + warm_after + SECOND;
             sim.run(until, |_| None);
             (0..40).for_each(|_| serve_sequentially(&mut sim, 0, 5, 5 * MS));
-            assert!(sim.attempts.contains_key(&2), "{what}, started {started:?}: got no attempt");
+            assert!(sim.attempts.contains_key(&2), "{what}, started {started_at:?}: got no attempt");
         }
     }
 }
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -171,12 +171,12 @@
 
 /// Settings of `n` balancers, with an unsafe class of high value and a safe one.
 fn settings(n: u32) -> Settings {
-    let class = |aim: Micros, worth: f64, effect| Class {
+    let class = |latency_target: Micros, value: f64, effect| Class {
         effect,
-        latency_target: aim,
+        latency_target,
         target_per_work: 0.0,
         deadline: 4 * SECOND,
-        value: worth,
+        value,
         late_value_ratio: 0.0,
         stream: false,
     };
@@ -240,8 +240,8 @@
     }
 
     fn new_balancer(&mut self, b: usize) -> Balancer {
-        let me = (b as u32).min(self.settings.balancers - 1);
-        let settings = Settings { balancer_index: me, zone: b as u32 % ZONES, ..self.settings.clone() };
+        let balancer_index = (b as u32).min(self.settings.balancers - 1);
+        let settings = Settings { balancer_index, zone: b as u32 % ZONES, ..self.settings.clone() };
         Balancer::new(settings, self.rng.u64(..)).expect("valid settings")
     }
 
@@ -257,8 +257,8 @@
             (_, true) => ServerState::Draining,
             _ => ServerState::Ready,
         };
-        let ring = u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        ServerEntry { zone: s.zone, state, started_at: s.started, ring_hash: ring, ..ServerEntry::new(id) }
+        let ring_hash = u64::from(id).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        ServerEntry { zone: s.zone, state, started_at: s.started, ring_hash, ..ServerEntry::new(id) }
     }
 
     /// Sends the complete current list to a balancer.
@@ -415,9 +415,9 @@
                     self.balancers[b].restore(at, &learned);
                 }
                 SimEvent::ReloadBalancer(b) => {
-                    let me = (b as u32).min(self.settings.balancers - 1);
+                    let balancer_index = (b as u32).min(self.settings.balancers - 1);
                     let settings =
-                        Settings { balancer_index: me, zone: b as u32 % ZONES, ..self.settings.clone() };
+                        Settings { balancer_index, zone: b as u32 % ZONES, ..self.settings.clone() };
                     self.balancers[b].reconfigure(settings, &[Some(0), Some(1)]).expect("the same settings");
                 }
                 SimEvent::SetLoad(percent) => self.rate = f64::from(percent) / 100.0 * self.capacity,
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -298,7 +298,7 @@
 
 #[test]
 fn abandoned_attempts_leave_the_window_soon() {
-    // They decayed with P99, which a slow period widens to seconds.
+    // Abandoned attempts decayed with P99, which a slow period widens to seconds.
     let mut sim = simulation(&[Effect::Unsafe], 6);
     serve_sequentially(&mut sim, 0, 200, 20 * MS);
     for _ in 0..40 {
@@ -370,7 +370,8 @@
 
 #[test]
 fn lost_zone_does_not_receive_every_call() {
-    // Its servers refuse connections immediately. With the usual limit on ejections most stayed in use and looked idle.
+    // Servers of a lost zone refuse connections immediately. With the usual limit on ejections most of them stayed in
+    // use and looked idle.
     let mut s = settings(&[Effect::Safe]);
     s.zones = 3;
     let servers = (0..24).map(|id| ServerEntry { zone: id / 8, ..ServerEntry::new(id) });
@@ -640,7 +641,7 @@
 
 #[test]
 fn server_that_rejects_calls_is_avoided_for_a_while() {
-    // It answers immediately, so it always had the fewest calls in flight and got most of the traffic.
+    // A server that rejects calls answers immediately, so it had the fewest calls in flight and got most of the traffic.
     let mut sim = simulation(&[Effect::Unsafe], 4);
     serve_sequentially(&mut sim, 0, 200, 20 * MS);
     let before = sim.attempts.clone();
