--- a/engine/src/core.rs
+++ b/engine/src/core.rs
@@ -10,7 +10,7 @@
 
 use finchshift as fs;
 use finchshift::{Action, Event, ListKind, Micros, Outcome, RequestId, ServerId};
-use sloeline_events::{heard, note, tell};
+use sloeline_events::{emit, emit_if_subscribed, event_enabled};
 use sloeline_settings::setup::NameTable;
 
 use crate::registry::Registry;
@@ -233,7 +233,7 @@
 fn told_cold(names: &[&str]) {
     if !names.is_empty() {
         let (count, some) = (names.len(), some(names));
-        note!(COLD_TOLD, upstreams = %some, count = %count; "cold: just started: {some}");
+        emit_if_subscribed!(COLD_STARTED, upstreams = %some, count = %count; "cold: just started: {some}");
     }
 }
 
@@ -524,9 +524,9 @@
         let closed = !self.open.get(&id).is_some_and(|o| o.waits);
         let latency = now.saturating_sub(out.at);
         let server = out.server;
-        if heard!(ATTEMPT_ENDED) {
+        if event_enabled!(ATTEMPT_ENDED) {
             let (name, millis) = (self.registry.name(server).unwrap_or_default(), latency / 1000);
-            note!(ATTEMPT_ENDED, upstream = %name, request = %id, attempt = %attempt,
+            emit_if_subscribed!(ATTEMPT_ENDED, upstream = %name, request = %id, attempt = %attempt,
                 outcome = %format_args!("{outcome:?}"), latency = %millis;
                 "attempt: ended at {name}, request {id}, attempt {attempt}, {outcome:?} after {millis} ms");
         }
@@ -561,7 +561,7 @@
         }
         // An attempt that is out may go on until now: the module has left nothing.
         if open.out.is_empty() {
-            tell!(DEFECT, what = %"unanswered"; "defect: the module left request {id} unanswered; failed just before its time");
+            emit!(DEFECT, what = %"unanswered"; "defect: the module left request {id} unanswered; failed just before its time");
         }
         self.outputs
             .push_back(Output::Answer { request: id, answer: Answer::Failed(Failure::DeadlineExceeded) });
@@ -649,7 +649,7 @@
                 continue;
             };
             let name = self.registry.name(e.id).unwrap_or_default();
-            note!(COLD_LISTED, upstream = %name, age = %age / 1000; "cold: listed {name}, {} ms old", age / 1000);
+            emit_if_subscribed!(COLD_LISTED, upstream = %name, age = %age / 1000; "cold: listed {name}, {} ms old", age / 1000);
             let began = Cold { started: e.started_at, passed: 0 };
             if self.cold.insert(e.id, began).is_none_or(|before| before.started != e.started_at) {
                 names.push(name);
@@ -683,7 +683,7 @@
         if !over.is_empty() {
             over.sort_unstable();
             let (count, some) = (over.len(), some(&over));
-            note!(COLD_OVER, upstreams = %some, count = %count, passed_over = %passed;
+            emit_if_subscribed!(COLD_ENDED, upstreams = %some, count = %count, passed_over = %passed;
                 "cold: warm or gone, passed over {passed} times: {some}");
         }
     }
@@ -815,7 +815,7 @@
             let handled = catch_unwind(AssertUnwindSafe(|| balancer.handle(now, event, &mut actions)));
             // Guards the other requests: the last resort answers those that a broken module leaves.
             if handled.is_err() {
-                tell!(DEFECT, what = %"panicked"; "defect: the module panicked");
+                emit!(DEFECT, what = %"panicked"; "defect: the module panicked");
             }
             for action in actions.drain(..) {
                 self.act(now, action);
@@ -866,7 +866,7 @@
     /// Starts an attempt. What the rules forbid whatever the module says is not sent, and told so.
     pub(crate) fn send(&mut self, now: Micros, id: RequestId, server: ServerId, limit: Micros) {
         let to = self.registry.target(server);
-        if let Some(cold) = self.cold.get(&server).filter(|_| heard!(COLD_SENT)) {
+        if let Some(cold) = self.cold.get(&server).filter(|_| event_enabled!(COLD_SENT)) {
             let age = cold.started.map_or(0, |at| now.saturating_sub(at)) / 1000;
             let name = self.registry.name(server).unwrap_or_default();
             let attempt = self.open.get(&id).map_or(0, |open| open.sent);
@@ -876,15 +876,15 @@
             let (share, pace, warm, window, all_cold) =
                 self.balancer.cold_admission_factors(now, server).unwrap_or((1.0, 0.0, 0, 0.0, false));
             let pace = pace / 1000.0;
-            note!(COLD_SENT, upstream = %name, age = %age, request = %id, attempt = %attempt, cause = %cause,
+            emit_if_subscribed!(COLD_SENT, upstream = %name, age = %age, request = %id, attempt = %attempt, cause = %cause,
                 class = %class, share = %share, pace = %pace, warm = %warm, window = %window, all_cold = %all_cold;
                 "cold: sent to {name}, {age} ms old, request {id}, attempt {attempt}, on {cause}, class {class}, \
                  share {share:.3}, pace {pace:.0} ms, warm {warm}, window {window:.2}, all cold {all_cold}");
         }
-        if let Some(open) = self.open.get(&id).filter(|_| heard!(ATTEMPT_SENT)) {
+        if let Some(open) = self.open.get(&id).filter(|_| event_enabled!(ATTEMPT_SENT)) {
             let name = self.registry.name(server).unwrap_or_default();
             let (attempt, class) = (open.sent, open.class);
-            note!(ATTEMPT_SENT, upstream = %name, request = %id, attempt = %attempt, class = %class;
+            emit_if_subscribed!(ATTEMPT_SENT, upstream = %name, request = %id, attempt = %attempt, class = %class;
                 "attempt: sent to {name}, request {id}, attempt {attempt}, class {class}");
         }
         let not_sent = |attempt, closed| Event::Outcome {
--- a/engine/src/engine.rs
+++ b/engine/src/engine.rs
@@ -8,7 +8,7 @@
 
 use finchshift as fs;
 use finchshift::{ListKind, Micros, Outcome, RequestId, ServerId};
-use sloeline_events::tell;
+use sloeline_events::emit;
 use sloeline_settings::setup::NameTable;
 use tokio::sync::{Notify, oneshot};
 
@@ -152,7 +152,7 @@
     pub async fn answer(mut self) -> Answer<W::Reply> {
         (&mut self.answer).await.unwrap_or_else(|_| {
             let request = self.request;
-            tell!(DEFECT, what = %"dropped"; "defect: request {request} was dropped without an answer");
+            emit!(DEFECT, what = %"dropped"; "defect: request {request} was dropped without an answer");
             Answer::Failed(Failure::Upstream)
         })
     }
--- a/events/src/events.rs
+++ b/events/src/events.rs
@@ -59,106 +59,106 @@
     CONFIG_PROBLEM: WARN, "config", "config.problem", ["file"],
         "a mistake in a configuration, or something in it that nothing uses",
         "mend the line; with errors the file was not taken";
-    CONFIG_READ: INFO, "config", "config.read", [],
+    CONFIG_RELOADED: INFO, "config", "config.read", [],
         "a reload was taken",
         "nothing";
-    CONFIG_KEPT: WARN, "config", "config.kept", ["why"],
+    CONFIG_RELOAD_REJECTED: WARN, "config", "config.kept", ["why"],
         "a reload changed nothing",
         "mend what it names, send SIGHUP again";
-    LISTENING: INFO, "process", "process.listening", ["listener", "address"],
+    LISTENER_STARTED: INFO, "process", "process.listening", ["listener", "address"],
         "a listener takes connections",
         "nothing";
-    LISTENING_ENDED: INFO, "process", "process.listening-ended", ["listener", "address"],
+    LISTENER_STOPPED: INFO, "process", "process.listening-ended", ["listener", "address"],
         "a listener is gone with a reload",
         "nothing";
-    CONNECTIONS_LEFT: WARN, "process", "process.connections-left", ["listener"],
+    CONNECTIONS_UNFINISHED: WARN, "process", "process.connections-left", ["listener"],
         "callers did not read their answers during a stop",
         "nothing";
     STOPPING: INFO, "process", "process.stopping", [],
         "the order to stop came",
         "nothing";
-    POOL_ENDED: INFO, "process", "process.pool-ended", ["pool"],
+    POOL_DRAINED: INFO, "process", "process.pool-ended", ["pool"],
         "a removed pool has answered all it had",
         "its upstreams may go";
     ORDER_GIVEN: INFO, "orders", "order.given", ["who", "thing"],
         "an operator has ordered something",
         "nothing";
-    ORDER_BACK: INFO, "orders", "order.taken-back", ["who", "thing"],
+    ORDER_WITHDRAWN: INFO, "orders", "order.taken-back", ["who", "thing"],
         "an operator has taken orders back",
         "nothing";
-    ORDER_OVER: INFO, "orders", "order.over", ["id", "who"],
+    ORDER_EXPIRED: INFO, "orders", "order.over", ["id", "who"],
         "an order came to its end by itself",
         "nothing; order again what should last";
-    ORDER_STANDS: INFO, "orders", "order.stands", ["id", "who"],
+    ORDER_RESTORED: INFO, "orders", "order.stands", ["id", "who"],
         "an order of before a restart holds",
         "nothing";
-    ORDERS_NOT_KEPT: WARN, "orders", "orders.not-kept", ["why"],
+    ORDERS_NOT_SAVED: WARN, "orders", "orders.not-kept", ["why"],
         "orders hold, and would be lost with this process",
         "make room, or end the other process; give an order again";
-    ORDERS_SPOILT: ERROR, "orders", "orders.spoilt", ["why"],
+    ORDERS_CORRUPT: ERROR, "orders", "orders.spoilt", ["why"],
         "the file of orders is spoilt: the latest are lost, or all",
         "order again what should be out";
-    CALLS_OPEN: INFO, "control", "control.open", ["at"],
+    CONTROL_LISTENING: INFO, "control", "control.open", ["at"],
         "operators' calls are taken there",
         "nothing";
-    CALLS_CLOSED: WARN, "control", "control.closed", ["why"],
+    CONTROL_UNAVAILABLE: WARN, "control", "control.closed", ["why"],
         "operators' calls, or other keys for them, could not be had",
         "mend what it names, send SIGHUP";
-    LINK_TROUBLE: WARN, "link", "link.trouble", ["why"],
+    LINK_FAILED: WARN, "link", "link.trouble", ["why"],
         "the other process of an upgrade hangs, or words something otherwise",
         "see OPERATIONS.md";
-    LINK_LATER: INFO, "link", "link.later", [],
+    LINK_PEER_BUSY: INFO, "link", "link.later", [],
         "a later process is met by another one",
         "nothing";
-    PROCESS_CAME: INFO, "link", "link.came", [],
+    PEER_PROCESS_CONNECTED: INFO, "link", "link.came", [],
         "an upgrade: another process has come",
         "its end follows within seconds of SIGTERM";
-    PROCESS_GONE: INFO, "link", "link.gone", ["which"],
+    PEER_PROCESS_GONE: INFO, "link", "link.gone", ["which"],
         "the other process of an upgrade has gone",
         "before SIGTERM: look at its log";
-    TAKEN_OVER: INFO, "link", "link.taken-over", ["order"],
+    ORDER_TAKEN_OVER: INFO, "link", "link.taken-over", ["order"],
         "an order of the other process holds here too",
         "nothing";
-    SOURCE_TROUBLE: WARN, "membership", "source.trouble", ["pool", "source"],
+    SOURCE_FAILED: WARN, "membership", "source.trouble", ["pool", "source"],
         "a source fails; the last view holds",
         "look at the registry";
-    SOURCE_FOLLOWS: INFO, "membership", "source.follows", ["pool", "source"],
+    SOURCE_RECOVERED: INFO, "membership", "source.follows", ["pool", "source"],
         "a source is followed again",
         "nothing";
-    SOURCE_REFUSED: WARN, "membership", "source.refused", ["pool", "source"],
+    SOURCE_VIEW_REFUSED: WARN, "membership", "source.refused", ["pool", "source"],
         "a view was not taken, by the rules for doubt",
         "see MEMBERSHIP.md";
-    LIST_HELD: WARN, "membership", "list.held", ["why"],
+    NODE_FILE_UNREADABLE: WARN, "membership", "list.held", ["why"],
         "a file of nodes cannot be read or watched; the last list holds",
         "mend it; it is read as soon as it changes";
-    DISCOVERY_TROUBLE: WARN, "discovery", "discovery.trouble", ["address"],
+    DISCOVERY_FAILED: WARN, "discovery", "discovery.trouble", ["address"],
         "a registry fails; the last list holds",
         "look at the registry";
-    DISCOVERY_ADDRESS: WARN, "discovery", "discovery.address", ["node"],
+    DISCOVERY_ADDRESS_INVALID: WARN, "discovery", "discovery.address", ["node"],
         "a node in a list has no readable address and is left out",
         "mend its entry";
-    ANNOUNCE_TROUBLE: WARN, "announce", "announce.trouble", ["why"],
+    ANNOUNCE_FAILED: WARN, "announce", "announce.trouble", ["why"],
         "this instance could not be announced; it is tried again",
         "look at the registry";
-    FLEET_CAME: INFO, "fleet", "fleet.came", ["instance"],
+    FLEET_INSTANCE_JOINED: INFO, "fleet", "fleet.came", ["instance"],
         "another instance is there, for the first time or again",
         "nothing";
-    FLEET_ALONE: WARN, "fleet", "fleet.alone", [],
+    FLEET_NO_PEERS: WARN, "fleet", "fleet.alone", [],
         "no other instance answered at the start; this one goes on by itself until one does",
         "nothing for the first of all; else look at the seeds and the network";
-    FLEET_SUSPECTED: WARN, "fleet", "fleet.suspected", ["instance"],
+    FLEET_INSTANCE_SUSPECTED: WARN, "fleet", "fleet.suspected", ["instance"],
         "another instance does not answer",
         "nothing at once: it is asked through others, and answers or is held for dead";
-    FLEET_DIED: WARN, "fleet", "fleet.died", ["instance"],
+    FLEET_INSTANCE_DEAD: WARN, "fleet", "fleet.died", ["instance"],
         "another instance is held for dead; it may only be out of reach",
         "look whether it runs, and at the network between them";
-    FLEET_LEFT: INFO, "fleet", "fleet.left", ["instance"],
+    FLEET_INSTANCE_LEFT: INFO, "fleet", "fleet.left", ["instance"],
         "another instance has said that it leaves",
         "nothing";
-    FLEET_TWIN: ERROR, "fleet", "fleet.twin", ["at"],
+    FLEET_DUPLICATE_NAME: ERROR, "fleet", "fleet.twin", ["at"],
         "another instance has this one's name; the one with the higher address falls silent",
         "give one of them another name";
-    FLEET_REFUSED: WARN, "fleet", "fleet.refused", ["from", "why"],
+    FLEET_DATAGRAM_REFUSED: WARN, "fleet", "fleet.refused", ["from", "why"],
         "a datagram was not heard: another key, another version, or none of ours",
         "look at the keys on both sides";
     ATTEMPT_SENT: TRACE, "attempt", "attempt.sent", ["upstream", "request", "attempt", "class"],
@@ -167,10 +167,10 @@
     ATTEMPT_ENDED: TRACE, "attempt", "attempt.ended", ["upstream", "request", "attempt", "outcome", "latency"],
         "how an attempt ended and after how many milliseconds: an upstream that has fallen answers nobody from then on",
         "nothing; to follow one case, with the level of the area `attempt` at trace";
-    COLD_TOLD: INFO, "cold", "cold.told", ["upstreams", "count"],
+    COLD_STARTED: INFO, "cold", "cold.told", ["upstreams", "count"],
         "a list names upstreams that have just started: each is sent its share of what a warm one takes, until it is warm",
         "nothing; `ctl pools` shows the share of each and how often it was passed over";
-    COLD_OVER: INFO, "cold", "cold.over", ["upstreams", "count", "passed_over"],
+    COLD_ENDED: INFO, "cold", "cold.over", ["upstreams", "count", "passed_over"],
         "upstreams are warm, or gone; `passed_over`: picks that went past them while they were cold",
         "nothing";
     COLD_LISTED: TRACE, "cold", "cold.listed", ["upstream", "age"],
@@ -179,7 +179,7 @@
     COLD_SENT: TRACE, "cold", "cold.sent", ["upstream", "age", "request", "attempt", "cause", "class", "share", "pace", "warm", "window", "all_cold"],
         "an attempt goes to a cold upstream; `cause` is what the module was told when it let it go, `share` the part of its capacity, `pace` the milliseconds between calls to a warm one, `warm` the warm ones of its zone, `window` that zone's, `all_cold` whether none is warm anywhere",
         "nothing; to follow one case, with the level of the area `cold` at trace";
-    OPERATION_ODD: WARN, "operations", "operation.odd", ["operation", "code"],
+    OPERATION_MISMATCH: WARN, "operations", "operation.odd", ["operation", "code"],
         "an operation does not do as it is described",
         "see DESCRIPTIONS.md";
     OPERATION_SUMMARY: INFO, "operations", "operation.summary", [],
@@ -236,8 +236,8 @@
         assert_eq!(names.len(), ALL.len(), "two of one name");
         for (event, constant) in ALL.iter().zip(CONSTANTS) {
             let calls: Vec<&str> = code
-                .split("tell!(")
-                .flat_map(|part| part.split("note!("))
+                .split("emit!(")
+                .flat_map(|part| part.split("emit_if_subscribed!("))
                 .skip(1)
                 .filter(|call| {
                     call.trim_start().strip_prefix(constant).is_some_and(|c| c.starts_with([',', ';']))
--- a/events/src/filter.rs
+++ b/events/src/filter.rs
@@ -8,7 +8,7 @@
 use crate::hub::Record;
 
 /// Reads a level.
-pub fn level(word: &str) -> Option<Level> {
+pub fn parse_level(word: &str) -> Option<Level> {
     ["error", "warn", "info", "debug", "trace"].contains(&word).then(|| word.parse().ok()).flatten()
 }
 
@@ -16,30 +16,30 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Levels {
     /// Of all others.
-    pub base: Level,
+    pub default_level: Level,
     /// Of an area and those within it, `membership` for `membership.etcd` too.
     pub areas: BTreeMap<String, Level>,
 }
 
 impl Default for Levels {
     fn default() -> Levels {
-        Levels { base: Level::INFO, areas: BTreeMap::new() }
+        Levels { default_level: Level::INFO, areas: BTreeMap::new() }
     }
 }
 
 impl Levels {
     /// Reads `warn`, or `info,cold=trace,membership.etcd=debug`: the level of all others, then those of areas. The error
     /// names the part that can't be read.
-    pub fn read(text: &str) -> Result<Levels, String> {
+    pub fn parse(text: &str) -> Result<Levels, String> {
         let mut levels = Levels::default();
         for part in text.split(',').map(str::trim).filter(|part| !part.is_empty()) {
             let (area, word) = part.split_once('=').map_or((None, part), |(area, word)| (Some(area), word));
-            let found = level(word).ok_or_else(|| {
+            let found = parse_level(word).ok_or_else(|| {
                 format!("found {part:?}, expected a level (error, warn, info, debug, trace) or AREA=LEVEL")
             })?;
             match area {
                 Some(area) => _ = levels.areas.insert(area.to_owned(), found),
-                None => levels.base = found,
+                None => levels.default_level = found,
             }
         }
         Ok(levels)
@@ -54,7 +54,7 @@
             }
             match within.rfind('.') {
                 Some(end) => within = &within[..end],
-                None => return self.base,
+                None => return self.default_level,
             }
         }
     }
@@ -68,7 +68,7 @@
 /// What one who follows wants to hear; all of it must be so.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Wanted {
+pub struct EventFilter {
     /// This level or a graver one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub level: Option<String>,
@@ -83,11 +83,11 @@
     pub text: Option<String>,
 }
 
-impl Wanted {
+impl EventFilter {
     /// What is wrong with it, if anything.
-    pub fn check(&self) -> Result<(), String> {
+    pub fn validate(&self) -> Result<(), String> {
         match &self.level {
-            Some(word) if level(word).is_none() => {
+            Some(word) if parse_level(word).is_none() => {
                 Err(format!("level: found {word:?}, expected error, warn, info, debug or trace"))
             }
             _ => Ok(()),
@@ -95,12 +95,12 @@
     }
 
     /// Whether that is so of an event.
-    pub fn hears(&self, record: &Record) -> bool {
+    pub fn matches(&self, record: &Record) -> bool {
         let within = |area: &str| {
             let rest = record.area.strip_prefix(area);
             rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('.'))
         };
-        self.level.as_deref().and_then(level).is_none_or(|level| record.level <= level)
+        self.level.as_deref().and_then(parse_level).is_none_or(|level| record.level <= level)
             && self.area.as_deref().is_none_or(within)
             && self.event.as_deref().is_none_or(|event| record.event.starts_with(event))
             && self.text.as_deref().is_none_or(|text| {
@@ -115,7 +115,8 @@
 
     #[test]
     fn levels_are_read_from_a_line_and_what_is_wrong_is_named() {
-        let read = |text| Levels::read(text).map(|l| (l.base, l.of("cold"), l.of("membership.etcd")));
+        let read =
+            |text| Levels::parse(text).map(|l| (l.default_level, l.of("cold"), l.of("membership.etcd")));
         for (text, base, cold, etcd) in [
             ("", Level::INFO, Level::INFO, Level::INFO),
             ("warn", Level::WARN, Level::WARN, Level::WARN),
@@ -135,7 +136,7 @@
     fn the_longest_area_that_one_lies_in_says_its_level() {
         let areas = [("membership", Level::ERROR), ("membership.etcd", Level::DEBUG)];
         let areas = areas.into_iter().map(|(area, level)| (area.to_owned(), level)).collect();
-        let levels = Levels { base: Level::INFO, areas };
+        let levels = Levels { default_level: Level::INFO, areas };
         for (area, expected) in [
             ("membership", Level::ERROR),
             ("membership.dns", Level::ERROR),
@@ -146,6 +147,9 @@
             assert_eq!(levels.of(area), expected, "{area}");
         }
         assert!(levels.hear("membership", Level::ERROR) && !levels.hear("membership", Level::WARN));
-        assert_eq!((level("warn"), level("WARN"), level("3")), (Some(Level::WARN), None, None));
+        assert_eq!(
+            (parse_level("warn"), parse_level("WARN"), parse_level("3")),
+            (Some(Level::WARN), None, None)
+        );
     }
 }
--- a/events/src/hub.rs
+++ b/events/src/hub.rs
@@ -12,7 +12,7 @@
 use tracing::{Event, Level, Metadata, Subscriber};
 use tracing_subscriber::layer::{Context, Layer, SubscriberExt};
 
-use crate::filter::{Levels, Wanted};
+use crate::filter::{EventFilter, Levels};
 use crate::limit::{Limiter, Rate, Verdict};
 
 /// Events that are kept.
@@ -26,7 +26,7 @@
 
 /// How lines are written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Form {
+pub enum LineFormat {
     /// For people.
     #[default]
     Text,
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// How lines are written.
-    pub form: Form,
+    pub format: LineFormat,
     /// What is heard.
     pub levels: Levels,
     /// How often.
@@ -82,11 +82,11 @@
         Value::Object(of)
     }
 
-    fn line(&self, form: Form) -> String {
-        match form {
-            Form::Json => self.json().to_string() + "\n",
-            Form::Text if self.dropped > 0 => format!("{} (and {} like it)\n", self.text, self.dropped),
-            Form::Text => format!("{}\n", self.text),
+    fn line(&self, format: LineFormat) -> String {
+        match format {
+            LineFormat::Json => self.json().to_string() + "\n",
+            LineFormat::Text if self.dropped > 0 => format!("{} (and {} like it)\n", self.text, self.dropped),
+            LineFormat::Text => format!("{}\n", self.text),
         }
     }
 }
@@ -128,7 +128,7 @@
 }
 
 struct Tail {
-    wanted: Wanted,
+    wanted: EventFilter,
     to: mpsc::Sender<Arc<Record>>,
 }
 
@@ -196,16 +196,16 @@
     }
 
     /// The latest events that are wanted, the latest last, at most so many.
-    pub fn latest(&self, wanted: &Wanted, most: usize) -> Vec<Arc<Record>> {
+    pub fn recent(&self, wanted: &EventFilter, most: usize) -> Vec<Arc<Record>> {
         let inner = self.inner();
         let mut found: Vec<Arc<Record>> =
-            inner.kept.iter().rev().filter(|record| wanted.hears(record)).take(most).cloned().collect();
+            inner.kept.iter().rev().filter(|record| wanted.matches(record)).take(most).cloned().collect();
         found.reverse();
         found
     }
 
     /// Follows what is wanted from now on. One who does not take what comes misses it.
-    pub fn follow(&self, wanted: Wanted) -> mpsc::Receiver<Arc<Record>> {
+    pub fn subscribe(&self, wanted: EventFilter) -> mpsc::Receiver<Arc<Record>> {
         let (to, from) = mpsc::channel(WAITING);
         let mut inner = self.inner();
         inner.tails.retain(|tail| !tail.to.is_closed());
@@ -217,7 +217,7 @@
     }
 
     /// Tells what was dropped and that nothing has followed.
-    pub fn sweep(&self) {
+    pub fn flush_dropped(&self) {
         let now = self.began.elapsed().as_micros() as u64;
         let dropped = self.inner().limiter.sweep(now);
         for dropped in dropped {
@@ -236,7 +236,7 @@
     }
 
     fn told(&self, record: Record) {
-        let line = record.line(self.settings(|s| s.form));
+        let line = record.line(self.settings(|s| s.format));
         let record = Arc::new(record);
         let mut inner = self.inner();
         if inner.kept.len() == KEPT {
@@ -244,7 +244,7 @@
         }
         inner.kept.push_back(record.clone());
         inner.tails.retain(|tail| {
-            !tail.wanted.hears(&record)
+            !tail.wanted.matches(&record)
                 || !matches!(tail.to.try_send(record.clone()), Err(mpsc::error::TrySendError::Closed(_)))
         });
         drop(inner);
@@ -294,7 +294,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::tell;
+    use crate::emit;
 
     fn listened(settings: Settings, told: impl FnOnce(&Hub)) -> Vec<String> {
         let lines = Arc::new(Mutex::new(Vec::new()));
@@ -308,38 +308,40 @@
     #[test]
     fn events_are_lines_and_objects_and_reach_those_who_follow() {
         let tell = |_: &Hub| {
-            tell!(ORDER_GIVEN, who = %"anna", thing = %"n7"; "ordered: {} out in p", "n7\nx");
-            tell!(CONFIG_READ; "configuration read again");
+            emit!(ORDER_GIVEN, who = %"anna", thing = %"n7"; "ordered: {} out in p", "n7\nx");
+            emit!(CONFIG_RELOADED; "configuration read again");
         };
         assert_eq!(
             listened(Settings::default(), tell),
             ["ordered: n7 | x out in p\n", "configuration read again\n"]
         );
-        let json = listened(Settings { form: Form::Json, ..Settings::default() }, tell);
+        let json = listened(Settings { format: LineFormat::Json, ..Settings::default() }, tell);
         let first: Value = serde_json::from_str(&json[0]).expect("JSON");
         let fields =
             ["level", "area", "event", "who", "thing"].map(|name| first[name].as_str().unwrap_or(""));
         assert_eq!(fields, ["info", "orders", "order.given", "anna", "n7"]);
         let lines = listened(Settings::default(), |hub| {
-            let wanted = Wanted { event: Some("order.".to_owned()), ..Wanted::default() };
-            let mut follows = hub.follow(wanted.clone());
+            let wanted = EventFilter { event: Some("order.".to_owned()), ..EventFilter::default() };
+            let mut follows = hub.subscribe(wanted.clone());
             tell(hub);
             assert_eq!(follows.try_recv().expect("it is told").event, "order.given");
             assert!(follows.try_recv().is_err(), "the other is not wanted");
-            assert_eq!(hub.latest(&wanted, 10).len(), 1);
-            assert_eq!(hub.latest(&Wanted::default(), 1)[0].event, "config.read");
+            assert_eq!(hub.recent(&wanted, 10).len(), 1);
+            assert_eq!(hub.recent(&EventFilter::default(), 1)[0].event, "config.read");
             for wanted in [
-                Wanted { level: Some("warn".to_owned()), ..Wanted::default() },
-                Wanted { area: Some("order".to_owned()), ..Wanted::default() },
-                Wanted { text: Some("n8".to_owned()), ..Wanted::default() },
+                EventFilter { level: Some("warn".to_owned()), ..EventFilter::default() },
+                EventFilter { area: Some("order".to_owned()), ..EventFilter::default() },
+                EventFilter { text: Some("n8".to_owned()), ..EventFilter::default() },
             ] {
-                assert!(hub.latest(&wanted, 10).is_empty(), "{wanted:?}");
+                assert!(hub.recent(&wanted, 10).is_empty(), "{wanted:?}");
             }
-            assert!(Wanted { level: Some("loud".to_owned()), ..Wanted::default() }.check().is_err());
+            assert!(
+                EventFilter { level: Some("loud".to_owned()), ..EventFilter::default() }.validate().is_err()
+            );
             // Nobody is waited for: whoever takes nothing misses what comes, and a thousand who follow are sixteen.
-            let followers: Vec<_> = (0..1000).map(|_| hub.follow(Wanted::default())).collect();
+            let followers: Vec<_> = (0..1000).map(|_| hub.subscribe(EventFilter::default())).collect();
             for n in 0..2 * WAITING {
-                tell!(ORDER_GIVEN, who = %n, thing = %n; "ordered: {n}");
+                emit!(ORDER_GIVEN, who = %n, thing = %n; "ordered: {n}");
             }
             let open = followers.iter().filter(|follower| follower.len() == WAITING).count();
             assert_eq!(open, MOST_TAILS);
@@ -349,19 +351,21 @@
 
     #[test]
     fn levels_and_rates_hold_and_change_while_it_runs() {
-        let rate = Rate { burst: 3.0, each_second: 0.001 };
-        let quiet =
-            Settings { levels: Levels { base: Level::ERROR, ..Levels::default() }, ..Settings::default() };
+        let rate = Rate { burst: 3.0, per_second: 0.001 };
+        let quiet = Settings {
+            levels: Levels { default_level: Level::ERROR, ..Levels::default() },
+            ..Settings::default()
+        };
         let lines = listened(Settings { rate, ..Settings::default() }, |hub| {
             for _ in 0..10 {
-                tell!(DISCOVERY_ADDRESS, node = %"n7"; "out");
+                emit!(DISCOVERY_ADDRESS_INVALID, node = %"n7"; "out");
             }
             // What operators do is told each time.
-            (0..5).for_each(|_| tell!(CONFIG_READ; "read"));
-            tell!(DISCOVERY_ADDRESS, node = %"n8"; "another");
+            (0..5).for_each(|_| emit!(CONFIG_RELOADED; "read"));
+            emit!(DISCOVERY_ADDRESS_INVALID, node = %"n8"; "another");
             hub.set(quiet.clone());
-            tell!(DISCOVERY_ADDRESS, node = %"n9"; "not heard");
-            tell!(DEFECT, what = %"x"; "defect: x");
+            emit!(DISCOVERY_ADDRESS_INVALID, node = %"n9"; "not heard");
+            emit!(DEFECT, what = %"x"; "defect: x");
         });
         assert_eq!(
             lines,
--- a/events/src/limit.rs
+++ b/events/src/limit.rs
@@ -16,12 +16,12 @@
     /// At once.
     pub burst: f64,
     /// A second.
-    pub each_second: f64,
+    pub per_second: f64,
 }
 
 impl Default for Rate {
     fn default() -> Rate {
-        Rate { burst: 20.0, each_second: 1.0 }
+        Rate { burst: 20.0, per_second: 1.0 }
     }
 }
 
@@ -90,7 +90,7 @@
     /// Forgets what has long been quiet and owes nothing, at most once for each refill.
     fn rest(&mut self, now: u64) {
         let rate = self.rate;
-        let refill = (1e6 / rate.each_second.max(1e-3)) as u64;
+        let refill = (1e6 / rate.per_second.max(1e-3)) as u64;
         if now.saturating_sub(self.swept) < refill {
             return;
         }
@@ -121,7 +121,7 @@
     fn fill(&mut self, now: u64, rate: Rate) {
         // A clock that goes back brings nothing.
         let span = now.saturating_sub(self.at) as f64 / 1e6;
-        self.left = (self.left + span * rate.each_second).min(rate.burst.max(1.0));
+        self.left = (self.left + span * rate.per_second).min(rate.burst.max(1.0));
         self.at = self.at.max(now);
     }
 }
@@ -137,7 +137,7 @@
         println!("SEED={seed}");
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut limiter = Limiter::default();
-        limiter.set(Rate { burst: 5.0, each_second: 2.0 });
+        limiter.set(Rate { burst: 5.0, per_second: 2.0 });
         let (mut now, mut told, mut counted, mut events) = (0, HashMap::<String, u64>::new(), 0, 0);
         for _ in 0..20_000 {
             now += rng.u64(0..2_000);
--- a/fleet/src/shell.rs
+++ b/fleet/src/shell.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use finchshift::Micros;
-use sloeline_events::tell;
+use sloeline_events::emit;
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 use tokio::task::{AbortHandle, spawn_local};
@@ -264,7 +264,7 @@
             }
             Heard::Reply(bytes) => self.send(from, Some(bytes)),
             Heard::Bad(why) => {
-                tell!(FLEET_REFUSED, from = %from, why = %why; "fleet: {from}: {why}");
+                emit!(FLEET_DATAGRAM_REFUSED, from = %from, why = %why; "fleet: {from}: {why}");
             }
             Heard::Nothing => {}
         }
@@ -352,13 +352,15 @@
 
 fn said(change: &Change) {
     match change {
-        Change::Came(name) => tell!(FLEET_CAME, instance = %name; "fleet: {name} is there"),
-        Change::Suspected(name) => tell!(FLEET_SUSPECTED, instance = %name; "fleet: {name} does not answer"),
-        Change::Died(name) => tell!(FLEET_DIED, instance = %name; "fleet: {name} is held for dead"),
-        Change::Left(name) => tell!(FLEET_LEFT, instance = %name; "fleet: {name} has left"),
+        Change::Came(name) => emit!(FLEET_INSTANCE_JOINED, instance = %name; "fleet: {name} is there"),
+        Change::Suspected(name) => {
+            emit!(FLEET_INSTANCE_SUSPECTED, instance = %name; "fleet: {name} does not answer")
+        }
+        Change::Died(name) => emit!(FLEET_INSTANCE_DEAD, instance = %name; "fleet: {name} is held for dead"),
+        Change::Left(name) => emit!(FLEET_INSTANCE_LEFT, instance = %name; "fleet: {name} has left"),
         Change::Twin(at, silent) => {
             let what = if *silent { "this one falls silent" } else { "this one goes on" };
-            tell!(FLEET_TWIN, at = %at; "fleet: {at} has this instance's name; {what}");
+            emit!(FLEET_DUPLICATE_NAME, at = %at; "fleet: {at} has this instance's name; {what}");
         }
         Change::Fact(_) => {}
     }
--- a/membership/src/announce/line.rs
+++ b/membership/src/announce/line.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use sloeline_engine::clock::Clock;
-use sloeline_events::tell;
+use sloeline_events::emit;
 use tokio::sync::{Notify, mpsc};
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::sleep_until;
@@ -138,7 +138,7 @@
             stands.notify_one();
         }
         if let Some(why) = announce.borrow_mut().trouble() {
-            tell!(ANNOUNCE_TROUBLE, why = %why; "announce: {why}; tried again");
+            emit!(ANNOUNCE_FAILED, why = %why; "announce: {why}; tried again");
         }
         let due = announce.borrow().due();
         let rings = async {
--- a/membership/src/file.rs
+++ b/membership/src/file.rs
@@ -7,7 +7,7 @@
 use finchshift::ListKind;
 use notify::{RecommendedWatcher, RecursiveMode, Watcher};
 use sloeline_engine::types::DiscoveryEntry;
-use sloeline_events::tell;
+use sloeline_events::emit;
 use tokio::sync::Notify;
 use tokio::task::{AbortHandle, spawn_local};
 
@@ -66,7 +66,7 @@
             changed.notified().await;
             match read(&path) {
                 Ok(list) => tell(ListKind::Complete, list),
-                Err(why) => tell!(LIST_HELD, why = %why; "membership: the last list holds: {why}"),
+                Err(why) => emit!(NODE_FILE_UNREADABLE, why = %why; "membership: the last list holds: {why}"),
             }
         }
     });
--- a/membership/src/follow.rs
+++ b/membership/src/follow.rs
@@ -8,7 +8,7 @@
 use finchshift::{ListKind, Micros};
 use sloeline_engine::clock::Clock;
 use sloeline_engine::types::DiscoveryEntry;
-use sloeline_events::tell;
+use sloeline_events::emit;
 use tokio::sync::Notify;
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::sleep_until;
@@ -68,7 +68,7 @@
         let taken = self.members.borrow_mut().take(self.clock.now(), source, news);
         if let Err(why) = taken {
             let pool = &self.pool;
-            tell!(SOURCE_REFUSED, pool = %pool, source = %name; "membership: pool {pool}, source {name}: not taken: {why}");
+            emit!(SOURCE_VIEW_REFUSED, pool = %pool, source = %name; "membership: pool {pool}, source {name}: not taken: {why}");
         }
         self.changed.notify_one();
         self.came.notify_waiters();
@@ -91,7 +91,7 @@
         }
         if let Some(why) = machine.problem() {
             let pool = &shared.pool;
-            tell!(SOURCE_REFUSED, pool = %pool, source = %name; "membership: pool {pool}, source {name}: what was known of it holds: {why}");
+            emit!(SOURCE_VIEW_REFUSED, pool = %pool, source = %name; "membership: pool {pool}, source {name}: what was known of it holds: {why}");
         }
         let health = machine.health();
         if health.trouble != trouble {
@@ -99,11 +99,11 @@
             match &trouble {
                 Some(why) => {
                     let pool = &shared.pool;
-                    tell!(SOURCE_TROUBLE, pool = %pool, source = %name; "membership: pool {pool}, source {name}: the last view holds: {why}");
+                    emit!(SOURCE_FAILED, pool = %pool, source = %name; "membership: pool {pool}, source {name}: the last view holds: {why}");
                 }
                 None => {
                     let pool = &shared.pool;
-                    tell!(SOURCE_FOLLOWS, pool = %pool, source = %name; "membership: pool {pool}, source {name}: follows again");
+                    emit!(SOURCE_RECOVERED, pool = %pool, source = %name; "membership: pool {pool}, source {name}: follows again");
                 }
             }
         }
@@ -167,7 +167,7 @@
             Following { shared: shared.clone(), tasks: Vec::new(), files: Vec::new(), lists: Vec::new() };
         for (at, (name, origin)) in origins.iter().enumerate() {
             if let Err(why) = following.begin(at, name, origin, seed.wrapping_add(at as u64)) {
-                tell!(SOURCE_TROUBLE, pool = %pool, source = %name; "membership: pool {pool}, source {name}: not followed: {why}");
+                emit!(SOURCE_FAILED, pool = %pool, source = %name; "membership: pool {pool}, source {name}: not followed: {why}");
                 let trouble = Some(why);
                 shared.members.borrow_mut().health(at, Health { trouble, ..Health::default() });
             }
--- a/membership/src/platform.rs
+++ b/membership/src/platform.rs
@@ -13,7 +13,7 @@
 use hyper_util::rt::TokioIo;
 use serde::{Deserialize, Serialize};
 use sloeline_engine::types::DiscoveryEntry;
-use sloeline_events::tell;
+use sloeline_events::emit;
 use sloeline_settings::setup::{default_one, micros_to_ms, ms_to_micros};
 use tokio::net::TcpStream;
 use tokio::task::{AbortHandle, spawn_local};
@@ -98,7 +98,7 @@
         let entry = |i: Instance| {
             let Ok(address) = i.host_port.parse() else {
                 let (node, found) = (&i.instance_id, &i.host_port);
-                tell!(DISCOVERY_ADDRESS, node = %node; "discovery: {node} has no readable address: {found:?}");
+                emit!(DISCOVERY_ADDRESS_INVALID, node = %node; "discovery: {node} has no readable address: {found:?}");
                 return None;
             };
             Some(DiscoveryEntry {
@@ -218,14 +218,14 @@
                     }
                     Err(why) if again > 0 => {
                         let address = this.address.get();
-                        tell!(DISCOVERY_TROUBLE, address = %address; "discovery: {address} does not answer yet: {why}");
+                        emit!(DISCOVERY_FAILED, address = %address; "discovery: {address} does not answer yet: {why}");
                         again -= 1;
                         sleep(pause).await;
                         pause *= 2;
                     }
                     Err(why) if follow.is_some() => {
                         let address = this.address.get();
-                        tell!(DISCOVERY_TROUBLE, address = %address; "discovery: {address}: {why}; asked again");
+                        emit!(DISCOVERY_FAILED, address = %address; "discovery: {address}: {why}; asked again");
                         let drawn = follow.as_mut().map_or(1.0, fastrand::Rng::f64);
                         sleep(pause.mul_f64(0.5 + drawn)).await;
                         // What came in between may be told nowhere else.
@@ -233,7 +233,7 @@
                         pause = (pause * 2).min(LONGEST_PAUSE);
                     }
                     Err(why) => {
-                        tell!(DISCOVERY_TROUBLE, address = %this.address.get(); "discovery: the watch ended: {why}");
+                        emit!(DISCOVERY_FAILED, address = %this.address.get(); "discovery: the watch ended: {why}");
                         return tell(ListKind::Failed, Vec::new());
                     }
                 }
@@ -264,7 +264,7 @@
                     tell(ListKind::Complete, list.entries());
                 }
                 Err(why) => {
-                    tell!(DISCOVERY_TROUBLE, address = %this.address.get(); "discovery: the list did not come: {why}");
+                    emit!(DISCOVERY_FAILED, address = %this.address.get(); "discovery: the list did not come: {why}");
                     tell(ListKind::Failed, Vec::new());
                 }
             }
--- a/operations/src/link.rs
+++ b/operations/src/link.rs
@@ -22,7 +22,7 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Deserializer, Serialize};
 use serde_json::Value;
-use sloeline_events::tell;
+use sloeline_events::emit;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader, Interest};
 use tokio::net::unix::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{UnixListener, UnixStream};
@@ -55,7 +55,7 @@
 pub fn readable<'de, D: Deserializer<'de>, T: DeserializeOwned + Default>(from: D) -> Result<T, D::Error> {
     let value = Value::deserialize(from)?;
     Ok(serde_json::from_value(value).unwrap_or_else(|why| {
-        tell!(LINK_TROUBLE, why = %why; "link: a part that another build words otherwise is passed over: {why}");
+        emit!(LINK_FAILED, why = %why; "link: a part that another build words otherwise is passed over: {why}");
         T::default()
     }))
 }
@@ -140,11 +140,11 @@
                 Err(_) if passed_over => {}
                 Err(why) => {
                     passed_over = true;
-                    tell!(LINK_TROUBLE, why = %why; "link: notes of another build are passed over, such as: {why}");
+                    emit!(LINK_FAILED, why = %why; "link: notes of another build are passed over, such as: {why}");
                 }
             },
             Ok(None) => return,
-            Err(why) => return tell!(LINK_TROUBLE, why = %why; "link: {why}"),
+            Err(why) => return emit!(LINK_FAILED, why = %why; "link: {why}"),
         }
     }
 }
--- a/operations/src/verbs.rs
+++ b/operations/src/verbs.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
-use sloeline_events::filter::Wanted;
+use sloeline_events::filter::EventFilter;
 use tokio::sync::mpsc;
 
 use crate::auth::May;
@@ -155,7 +155,7 @@
     Tail {
         /// Which of them.
         #[serde(flatten)]
-        wanted: Wanted,
+        wanted: EventFilter,
         /// So many of the latest first.
         backlog: usize,
     },
@@ -338,7 +338,10 @@
             Verb::Drain { node, pool, because: because.clone() },
             Verb::Standby { because: because.clone() },
             Verb::Limit { pool: "p".to_owned(), open: None, rate: Some(0.5), because },
-            Verb::Tail { wanted: Wanted { level: Some("warn".to_owned()), ..Wanted::default() }, backlog: 3 },
+            Verb::Tail {
+                wanted: EventFilter { level: Some("warn".to_owned()), ..EventFilter::default() },
+                backlog: 3,
+            },
             Verb::Watch { every_ms: 200 },
         ];
         for verb in verbs {
--- a/sloeline/src/cli.rs
+++ b/sloeline/src/cli.rs
@@ -172,7 +172,7 @@
         None if std::env::var_os("EDGE_CONFIG").is_some() => {
             // The platform's settings say nothing of logs.
             let text = std::env::var("SLOELINE_LOG").unwrap_or_default();
-            let levels = sloeline_events::filter::Levels::read(&text).unwrap_or_else(|why| {
+            let levels = sloeline_events::filter::Levels::parse(&text).unwrap_or_else(|why| {
                 eprintln!("sloeline: SLOELINE_LOG: {why}; the usual levels hold");
                 Default::default()
             });
--- a/sloeline/src/ctl.rs
+++ b/sloeline/src/ctl.rs
@@ -8,7 +8,7 @@
 
 use clap::{Args, Subcommand};
 use serde_json::{Map, Value};
-use sloeline_events::filter::Wanted;
+use sloeline_events::filter::EventFilter;
 use sloeline_operations::address::{self, Caller};
 use sloeline_operations::auth::Secret;
 use sloeline_operations::snapshot;
@@ -243,7 +243,7 @@
         What::Changes => Verb::Changes,
         What::Snapshot { .. } => Verb::Snapshot,
         What::Tail { level, area, event, text, backlog } => {
-            Verb::Tail { wanted: Wanted { level, area, event, text }, backlog: backlog as usize }
+            Verb::Tail { wanted: EventFilter { level, area, event, text }, backlog: backlog as usize }
         }
         What::Watch { every } => Verb::Watch { every_ms: every / 1000 },
     }
--- a/sloeline/src/daemon.rs
+++ b/sloeline/src/daemon.rs
@@ -18,8 +18,8 @@
 use sloeline_config::check::{Division, division};
 use sloeline_config::model::{Announce, Config, Listener};
 use sloeline_config::problem::Problem;
+use sloeline_events::emit;
 use sloeline_events::hub::hub;
-use sloeline_events::tell;
 use sloeline_fleet::shell::Fleet;
 use sloeline_http::callers::{Callers, Phase, Room};
 use sloeline_http::gate::Pace;
@@ -31,7 +31,7 @@
 use sloeline_settings::setup::NameTable;
 use sloeline_work::budget::Budget;
 use sloeline_work::schedule::{Job, Priority, Schedule};
-use sloeline_work::shell::Worker;
+use sloeline_work::worker::Worker;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{Notify, mpsc, oneshot, watch};
@@ -88,7 +88,7 @@
 fn load_logged(file: &Path) -> Result<Loaded, String> {
     let (config, problems) = load(file)?;
     for problem in &problems {
-        tell!(CONFIG_PROBLEM, file = %file.display(); "{}:{problem}", file.display());
+        emit!(CONFIG_PROBLEM, file = %file.display(); "{}:{problem}", file.display());
     }
     config.map(Loaded::from).ok_or_else(|| format!("{}: errors", file.display()))
 }
@@ -284,7 +284,7 @@
         }
         let division = division(&config)?;
         let mut zones = NameTable::default();
-        let mut turn = self.work.turn(Job::new("reload", 0, Priority::Soon)).await;
+        let mut turn = self.work.acquire_turn(Job::new("reload", 0, Priority::Normal)).await;
         let turn = turn.as_mut().map_err(|why| format!("no turn to make it ready in: {why:?}"))?;
         let classes = config.classes_by_pool();
         let mut plans: Vec<(String, Plan)> = Vec::new();
@@ -293,7 +293,7 @@
             let plan =
                 Plan::new(name, &config, classes, &self.folder, &mut zones, before, self.seat(&config))?;
             plans.push((name.clone(), plan));
-            turn.rest().await;
+            turn.yield_if_over().await;
         }
         let numbers: Numbers = plans.iter().map(|(name, plan)| (name.clone(), plan.numbers())).collect();
         let operations = self.operations.plan(&config, self.rng.borrow_mut().u64(..));
@@ -302,7 +302,7 @@
         for ((name, l), places) in heard {
             let table = tables.remove(name).unwrap_or_else(|| Table::new(Vec::new()));
             listeners.push(self.plan_listener(&config, name, l, *places, table)?);
-            turn.rest().await;
+            turn.yield_if_over().await;
         }
         for listener in &mut listeners {
             let on = config.routes.iter().filter(|r| r.listeners.contains(&listener.name));
@@ -311,7 +311,7 @@
                 let leads = leads.map_err(|why| format!("listener.{}: {why}", listener.name))?;
                 listener.led.push(self.led(leads, &numbers));
                 if at % BATCH == 0 {
-                    turn.rest().await;
+                    turn.yield_if_over().await;
                 }
             }
         }
@@ -390,7 +390,7 @@
             spawn_local(running.retire());
         }
         let (rate, most) = budget(&config);
-        self.work.with(|schedule, _| schedule.allow(0, rate, most));
+        self.work.with_schedule(|schedule, _| schedule.set_budget(0, rate, most));
         let before = std::mem::replace(&mut self.config, config);
         tokio::task::spawn_blocking(move || drop(before));
         self.operations = operations;
@@ -433,7 +433,7 @@
                 announcement.want_after(ready, Wanted::Serving);
                 self.announced = Some((words, announcement));
             }
-            Err(why) => tell!(ANNOUNCE_TROUBLE, why = %why; "announce: {why}"),
+            Err(why) => emit!(ANNOUNCE_FAILED, why = %why; "announce: {why}"),
         }
     }
 
@@ -477,7 +477,7 @@
             } else if let Some(socket) = socket {
                 let address = socket.local_addr().unwrap_or(wanted.address);
                 let instance = &self.config.instance.name;
-                tell!(LISTENING, listener = %name, address = %address; "sloeline {instance}: {name} listens on {address}");
+                emit!(LISTENER_STARTED, listener = %name, address = %address; "sloeline {instance}: {name} listens on {address}");
                 let (phases, phase) = watch::channel(Phase::Running);
                 let callers = Callers::new(Routed::new(routes), room, phase);
                 let (freed, free) = oneshot::channel();
@@ -494,7 +494,7 @@
         }
         for heard in gone.into_values() {
             let (name, address) = (&heard.name, heard.address);
-            tell!(LISTENING_ENDED, listener = %name, address = %address; "sloeline: {name} no longer listens on {address}");
+            emit!(LISTENER_STOPPED, listener = %name, address = %address; "sloeline: {name} no longer listens on {address}");
             let _ = heard.phases.send(Phase::Closing);
             self.closing.borrow_mut().push(heard.free);
         }
@@ -532,7 +532,7 @@
             let left = deadline.saturating_duration_since(Instant::now());
             if timeout(left, heard.task).await.is_err() {
                 let name = &heard.name;
-                tell!(CONNECTIONS_LEFT, listener = %name; "sloeline: {name} has connections that do not end; they are left");
+                emit!(CONNECTIONS_UNFINISHED, listener = %name; "sloeline: {name} has connections that do not end; they are left");
             }
         }
         if let Some(part) = self.part.into_inner() {
@@ -601,7 +601,7 @@
         }
         let start = Instant::now();
         let (age, summary) = daemon.standing();
-        summary.iter().for_each(|line| tell!(OPERATION_SUMMARY; "{line}"));
+        summary.iter().for_each(|line| emit!(OPERATION_SUMMARY; "{line}"));
         // Beside the requests: descriptions may be large.
         let from = file.clone();
         let prepared = {
@@ -624,29 +624,29 @@
             }
         };
         match prepared.and_then(|prepared| daemon.commit(prepared, Some(unix()))) {
-            Ok(at_once) => tell!(
-                CONFIG_READ;
+            Ok(at_once) => emit!(
+                CONFIG_RELOADED;
                 "sloeline: configuration read again in {} ms, {:.1} ms of them at once",
                 start.elapsed().as_millis(),
                 at_once.as_secs_f64() * 1e3
             ),
             Err(why) => {
-                tell!(CONFIG_KEPT, why = %why; "sloeline: the running configuration is kept: {why}");
-                tell!(CONFIG_KEPT, why = %why; "sloeline: it has been in force for {} s", age.as_secs());
+                emit!(CONFIG_RELOAD_REJECTED, why = %why; "sloeline: the running configuration is kept: {why}");
+                emit!(CONFIG_RELOAD_REJECTED, why = %why; "sloeline: it has been in force for {} s", age.as_secs());
             }
         }
         daemon.open_doors(&mut doors, &asks).await;
     }
-    tell!(STOPPING; "sloeline: told to stop");
+    emit!(STOPPING; "sloeline: told to stop");
     drop(doors);
-    daemon.standing().1.iter().for_each(|line| tell!(OPERATION_SUMMARY; "{line}"));
+    daemon.standing().1.iter().for_each(|line| emit!(OPERATION_SUMMARY; "{line}"));
     let stopped = daemon.stop();
     tokio::pin!(stopped);
     loop {
         tokio::select! {
             () = &mut stopped => return Ok(()),
             _ = hangup.recv() => {
-                tell!(CONFIG_KEPT, why = %"stopping"; "sloeline: the running configuration is kept: it is stopping");
+                emit!(CONFIG_RELOAD_REJECTED, why = %"stopping"; "sloeline: the running configuration is kept: it is stopping");
             }
         }
     }
--- a/sloeline/src/daemon/control.rs
+++ b/sloeline/src/daemon/control.rs
@@ -8,10 +8,10 @@
 
 use serde_json::{Value, json};
 use sloeline_config::model::{Config, Control, ControlKey, Log, RouteTo};
-use sloeline_events::filter::{Levels, Wanted, level};
-use sloeline_events::hub::{Form, Settings, hub};
+use sloeline_events::emit;
+use sloeline_events::filter::{EventFilter, Levels, parse_level};
+use sloeline_events::hub::{LineFormat, Settings, hub};
 use sloeline_events::limit::Rate;
-use sloeline_events::tell;
 use sloeline_limits::Share;
 use sloeline_operations::address::Address;
 use sloeline_operations::auth::{Key, May, Secret};
@@ -134,13 +134,13 @@
 }
 
 /// Tells events as they come, after the latest of them.
-fn tail(wanted: Wanted, backlog: usize, to: Replies) {
+fn tail(wanted: EventFilter, backlog: usize, to: Replies) {
     let Some(hub) = hub() else { return to.end(Err("this process keeps no events".to_owned())) };
-    if let Err(why) = wanted.check() {
+    if let Err(why) = wanted.validate() {
         return to.end(Err(why));
     }
-    let mut follows = hub.follow(wanted.clone());
-    for record in hub.latest(&wanted, backlog) {
+    let mut follows = hub.subscribe(wanted.clone());
+    for record in hub.recent(&wanted, backlog) {
         to.more(record.json());
     }
     spawn_local(async move {
@@ -159,12 +159,12 @@
 
 /// What a configuration says of logs.
 pub(super) fn logs(log: &Log) -> Settings {
-    let word = |word: &String| level(word).unwrap_or(Levels::default().base);
+    let word = |word: &String| parse_level(word).unwrap_or(Levels::default().default_level);
     let areas = log.levels.iter().map(|(area, level)| (area.clone(), word(level))).collect();
     Settings {
-        form: if log.json { Form::Json } else { Form::Text },
-        levels: Levels { base: word(&log.level), areas },
-        rate: Rate { burst: log.burst, each_second: log.rate },
+        format: if log.json { LineFormat::Json } else { LineFormat::Text },
+        levels: Levels { default_level: word(&log.level), areas },
+        rate: Rate { burst: log.burst, per_second: log.rate },
     }
 }
 
@@ -247,7 +247,7 @@
     /// Does it.
     pub fn ring(&self) {
         if let Some(hub) = hub() {
-            hub.sweep();
+            hub.flush_dropped();
         }
         self.pass();
         self.share();
@@ -273,10 +273,12 @@
             match wanted.map(|path| Socket::open(&path, asks.clone())) {
                 Some(Ok(open)) => {
                     let at = open.path().display();
-                    tell!(CALLS_OPEN, at = %at; "sloeline: operators' calls on {at}");
+                    emit!(CONTROL_LISTENING, at = %at; "sloeline: operators' calls on {at}");
                     doors.socket = Some(open);
                 }
-                Some(Err(why)) => tell!(CALLS_CLOSED, why = %why; "sloeline: no operators' calls: {why}"),
+                Some(Err(why)) => {
+                    emit!(CONTROL_UNAVAILABLE, why = %why; "sloeline: no operators' calls: {why}")
+                }
                 None => {}
             }
         }
@@ -290,7 +292,7 @@
             Ok(keys) => keys,
             // A key that can't be read must not end what the others are for.
             Err(why) => {
-                return tell!(CALLS_CLOSED, why = %why; "sloeline: no other keys for operators' calls: {why}");
+                return emit!(CONTROL_UNAVAILABLE, why = %why; "sloeline: no other keys for operators' calls: {why}");
             }
         };
         match &doors.address {
@@ -301,11 +303,11 @@
                 match open {
                     Ok(open) => {
                         let at = open.at();
-                        tell!(CALLS_OPEN, at = %at; "sloeline: signed operators' calls on {at}");
+                        emit!(CONTROL_LISTENING, at = %at; "sloeline: signed operators' calls on {at}");
                         doors.address = Some((wanted, open));
                     }
                     Err(why) => {
-                        tell!(CALLS_CLOSED, why = %why; "sloeline: no signed operators' calls: {why}")
+                        emit!(CONTROL_UNAVAILABLE, why = %why; "sloeline: no signed operators' calls: {why}")
                     }
                 }
             }
@@ -382,8 +384,8 @@
     }
 
     fn work_told(&self) -> Value {
-        let (overran, longest) = self.work.overran();
-        self.work.with(|schedule, _| {
+        let (overran, longest) = self.work.slice_overruns();
+        self.work.with_schedule(|schedule, _| {
             let kinds: serde_json::Map<String, Value> = schedule
                 .kinds()
                 .iter()
@@ -398,10 +400,10 @@
                 .collect();
             json!({
                 "jobs": schedule.len(),
-                "oldest_ms": schedule.oldest().map(|(waited, _)| waited / 1000),
-                "processor_left_us": schedule.budgets().first().map(|b| b.left().round()),
-                "gives_way_to": schedule.pressure.part(),
-                "lag_us": schedule.pressure.lag().round(),
+                "oldest_ms": schedule.oldest_ready().map(|(waited, _)| waited / 1000),
+                "processor_left_us": schedule.budgets().first().map(|b| b.available().round()),
+                "gives_way_to": schedule.pressure.budget_share(),
+                "lag_us": schedule.pressure.current_lag().round(),
                 "longest_turn_us": longest.as_micros() as u64,
                 "overran": overran,
                 "kinds": kinds,
--- a/sloeline/src/daemon/fleet.rs
+++ b/sloeline/src/daemon/fleet.rs
@@ -8,7 +8,7 @@
 use finchshift::Micros;
 use serde_json::{Value, json};
 use sloeline_config::model::{Config, Fleet as Wanted, Seat};
-use sloeline_events::tell;
+use sloeline_events::emit;
 use sloeline_fleet::grants;
 use sloeline_fleet::message::{Fact, Keys, MOST_NAME, Name, Seen, State};
 use sloeline_fleet::shell::{Fleet, Start};
@@ -200,7 +200,7 @@
         };
         // What others know of drains comes before the first request, if anybody is there to tell it.
         if !part.fleet.joined(time(JOINED * wanted.period)).await {
-            tell!(FLEET_ALONE; "fleet: nobody has answered yet; it goes on alone");
+            emit!(FLEET_NO_PEERS; "fleet: nobody has answered yet; it goes on alone");
         }
         *self.part.borrow_mut() = Some(part);
         Ok(())
@@ -213,7 +213,7 @@
         match keys(wanted, &self.folder) {
             Ok(keys) => part.fleet.set_keys(keys),
             Err(why) => {
-                tell!(CONFIG_KEPT, why = %why; "sloeline: the fleet's keys are kept: {why}");
+                emit!(CONFIG_RELOAD_REJECTED, why = %why; "sloeline: the fleet's keys are kept: {why}");
             }
         }
     }
--- a/sloeline/src/daemon/orders.rs
+++ b/sloeline/src/daemon/orders.rs
@@ -9,7 +9,7 @@
 
 use finchshift::Micros;
 use serde_json::{Value, json};
-use sloeline_events::tell;
+use sloeline_events::emit;
 use sloeline_membership::announce::Wanted;
 use sloeline_operations::book::{Book, Bound, Effect, Given, On, Order, Past, Standing, Step};
 use sloeline_operations::ledger::Ledger;
@@ -62,17 +62,17 @@
         let found =
             ledger.read().map_err(|why| format!("orders: {why}: move it away to start without orders"))?;
         if let Some(why) = &found.spoilt {
-            tell!(ORDERS_SPOILT, why = %why; "sloeline: orders: {why}: those before it hold");
+            emit!(ORDERS_CORRUPT, why = %why; "sloeline: orders: {why}: those before it hold");
         }
         let revision = found.written.revision;
         let (book, over) = Book::read(found.written, began.0);
         for order in &over {
             let (id, who) = (order.id, &order.who);
-            tell!(ORDER_OVER, id = %id, who = %who; "sloeline: order {id} of {who} came to its end while nothing ran");
+            emit!(ORDER_EXPIRED, id = %id, who = %who; "sloeline: order {id} of {who} came to its end while nothing ran");
         }
         for order in book.standing() {
             let (id, who) = (order.id, &order.who);
-            tell!(ORDER_STANDS, id = %id, who = %who; "sloeline: order {id} of {who} stands");
+            emit!(ORDER_RESTORED, id = %id, who = %who; "sloeline: order {id} of {who} stands");
         }
         orders.returning = over
             .into_iter()
@@ -84,7 +84,7 @@
         orders.book = book;
         let lock = lock(path);
         if let Err(why) = &lock {
-            tell!(ORDERS_NOT_KEPT, why = %why; "sloeline: orders are obeyed, and not kept: {why}");
+            emit!(ORDERS_NOT_SAVED, why = %why; "sloeline: orders are obeyed, and not kept: {why}");
         }
         let keeper = Keeper { ledger, lock: lock.ok(), written: Some(revision) };
         orders.keeper = Some(Arc::new(Mutex::new(keeper)));
@@ -222,13 +222,13 @@
         };
         for order in &over {
             let (id, who) = (order.id, &order.who);
-            tell!(ORDER_OVER, id = %id, who = %who; "sloeline: order {id} of {who} came to its end");
+            emit!(ORDER_EXPIRED, id = %id, who = %who; "sloeline: order {id} of {who} came to its end");
         }
         self.carry_out();
         if !over.is_empty() {
             self.keep(|kept| {
                 if let Err(why) = kept {
-                    tell!(ORDERS_NOT_KEPT, why = %why; "sloeline: orders are not kept: {why}");
+                    emit!(ORDERS_NOT_SAVED, why = %why; "sloeline: orders are not kept: {why}");
                 }
             });
         }
@@ -243,7 +243,7 @@
         let (book, work) = (orders.book.clone(), self.work.clone());
         spawn_local(async move {
             // Without a place it is written all the same.
-            let turn = work.turn(Job::new("orders", 0, Priority::Guard)).await;
+            let turn = work.acquire_turn(Job::new("orders", 0, Priority::Critical)).await;
             drop(turn);
             let write = move || keeper.lock().map_err(|e| e.to_string())?.write(&book);
             then(tokio::task::spawn_blocking(write).await.unwrap_or_else(|e| Err(e.to_string())));
@@ -256,7 +256,7 @@
             told["kept"] = match kept {
                 Ok(()) => json!(true),
                 Err(why) => {
-                    tell!(ORDERS_NOT_KEPT, why = %why; "sloeline: orders are not kept: {why}");
+                    emit!(ORDERS_NOT_SAVED, why = %why; "sloeline: orders are not kept: {why}");
                     json!(format!("no: {why}"))
                 }
             };
@@ -302,7 +302,7 @@
         self.carry_out();
         let why = given.why.as_deref().unwrap_or("no reason given");
         let (who, thing) = (&given.who, said(&order, &pools));
-        tell!(ORDER_GIVEN, who = %who, thing = %thing; "sloeline: ordered by {who}: {thing} ({why})");
+        emit!(ORDER_GIVEN, who = %who, thing = %thing; "sloeline: ordered by {who}: {thing} ({why})");
         Ok(told)
     }
 
@@ -324,7 +324,7 @@
         let ids: Vec<u64> = ended.iter().map(|order| order.id).collect();
         let why = given.why.as_deref().unwrap_or("no reason given");
         let who = &given.who;
-        tell!(ORDER_BACK, who = %who, thing = %thing; "sloeline: taken back by {who}: {thing}, orders {ids:?} ({why})");
+        emit!(ORDER_WITHDRAWN, who = %who, thing = %thing; "sloeline: taken back by {who}: {thing}, orders {ids:?} ({why})");
         let name = if matches!(on, On::Node(..)) { "node" } else { "on" };
         Ok(json!({name: thing, "pools": pools, "ended": ids, "revision": revision}))
     }
--- a/sloeline/src/daemon/pools.rs
+++ b/sloeline/src/daemon/pools.rs
@@ -15,7 +15,7 @@
 use sloeline_engine::core::{RequestStatus, Stage};
 use sloeline_engine::engine::Engine;
 use sloeline_engine::types::DiscoveryEntry;
-use sloeline_events::tell;
+use sloeline_events::emit;
 use sloeline_http::routed::Pool;
 use sloeline_http::upstream::{Dialect, Upstreams};
 use sloeline_limits::admission::AdmissionLimit;
@@ -281,7 +281,7 @@
         if let Err(why) = engine.reconfigure(plan.settings.clone(), &plan.assigned.inherited) {
             // The plan was checked by the same rules before anything was changed.
             let name = &self.pool.name;
-            tell!(DEFECT, what = %why; "defect: pool {name}: {why}");
+            emit!(DEFECT, what = %why; "defect: pool {name}: {why}");
             return;
         }
         self.slots.clone_from(&plan.assigned.slots);
@@ -308,7 +308,7 @@
             Ok(()) => *self.settings.borrow_mut() = settings,
             Err(why) => {
                 let name = &self.pool.name;
-                tell!(DEFECT, what = %why; "defect: pool {name}: {why}");
+                emit!(DEFECT, what = %why; "defect: pool {name}: {why}");
             }
         }
     }
@@ -379,8 +379,8 @@
                 let watched = watched.and_then(|watched| match watched {
                     Ok(watched) => Some(watched),
                     Err(why) => {
-                        tell!(
-                            LIST_HELD, why = %why;
+                        emit!(
+                            NODE_FILE_UNREADABLE, why = %why;
                             "membership: pool {} follows its file on SIGHUP only: {why}",
                             self.pool.name
                         );
@@ -518,7 +518,7 @@
             tasks.iter().for_each(AbortHandle::abort);
             // The tasks hold the engine, and the engine the connections.
             tokio::task::yield_now().await;
-            tell!(POOL_ENDED, pool = %name; "sloeline: pool {name} has ended");
+            emit!(POOL_DRAINED, pool = %name; "sloeline: pool {name} has ended");
         }
     }
 }
--- a/sloeline/src/daemon/routes.rs
+++ b/sloeline/src/daemon/routes.rs
@@ -155,11 +155,11 @@
         let work = self.work.clone();
         spawn_local(async move {
             // Without a place it is done at once.
-            let mut turn = work.turn(Job::new("take apart", 0, Priority::Later)).await.ok();
+            let mut turn = work.acquire_turn(Job::new("take apart", 0, Priority::Background)).await.ok();
             while !services.is_empty() {
                 services.truncate(services.len().saturating_sub(BATCH));
                 if let Some(turn) = &mut turn {
-                    turn.rest().await;
+                    turn.yield_if_over().await;
                 }
             }
         });
--- a/sloeline/src/observed.rs
+++ b/sloeline/src/observed.rs
@@ -12,7 +12,7 @@
 use sloeline_descriptions::folder::Folder;
 use sloeline_descriptions::refs::Files;
 use sloeline_engine::clock::Clock;
-use sloeline_events::tell;
+use sloeline_events::emit;
 use sloeline_http::routed::{Operation, Seen};
 
 /// Most lines of a summary.
@@ -69,8 +69,8 @@
                 let name = &self.name;
                 let (code, what) = (oddity.number(), oddity.what());
                 let from = if now { "; it is unsafe from now on" } else { "" };
-                tell!(
-                    OPERATION_ODD, operation = %name, code = %code;
+                emit!(
+                    OPERATION_MISMATCH, operation = %name, code = %code;
                     "operation {name:?}: {code}: {what} (status {}){from}", seen.status
                 );
             }
--- a/sloeline/src/platform.rs
+++ b/sloeline/src/platform.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use finchshift::ListKind;
-use sloeline_events::tell;
+use sloeline_events::emit;
 use sloeline_operations::control;
 use sloeline_operations::keep::Keep;
 use sloeline_operations::link::{find, meeting_place};
@@ -54,12 +54,12 @@
     let folder = operated.then(|| variable("TMPDIR")).flatten().map(std::path::PathBuf::from);
     let place = folder.as_ref().and_then(|folder| {
         meeting_place(folder, &config.name)
-            .inspect_err(|why| tell!(LINK_TROUBLE, why = %why; "link: {why}"))
+            .inspect_err(|why| emit!(LINK_FAILED, why = %why; "link: {why}"))
             .ok()
     });
     let inherited = match &place {
         Some(place) => find::<Handed>(place).await.unwrap_or_else(|why| {
-            tell!(LINK_TROUBLE, why = %why; "link: the process that serves gave nothing: {why}");
+            emit!(LINK_FAILED, why = %why; "link: the process that serves gave nothing: {why}");
             None
         }),
         None => None,
@@ -107,7 +107,7 @@
         None => {
             let kept = keep.as_ref().map(Keep::read).transpose();
             let kept = kept
-                .inspect_err(|why| tell!(ORDERS_SPOILT, why = %why; "sloeline: no orders are known: {why}"));
+                .inspect_err(|why| emit!(ORDERS_CORRUPT, why = %why; "sloeline: no orders are known: {why}"));
             (kept.ok().flatten().unwrap_or_default(), None)
         }
     };
@@ -131,11 +131,11 @@
             while hangup.recv().await.is_some() {
                 match Config::read_again(variable, &service.file()).and_then(|c| service.retune(c)) {
                     Ok(discovery) => {
-                        tell!(CONFIG_READ; "sloeline: configuration read again; discovery is {discovery}");
+                        emit!(CONFIG_RELOADED; "sloeline: configuration read again; discovery is {discovery}");
                     }
                     // Guards against a file that is half written or wrong.
                     Err(why) => {
-                        tell!(CONFIG_KEPT, why = %why; "sloeline: the running configuration is kept: {why}");
+                        emit!(CONFIG_RELOAD_REJECTED, why = %why; "sloeline: the running configuration is kept: {why}");
                     }
                 }
             }
@@ -143,11 +143,11 @@
     });
 
     let listener = TcpListener::from_std(listener).map_err(|e| e.to_string())?;
-    tell!(LISTENING, listener = %name, address = %address; "sloeline {name} listens on {address}");
+    emit!(LISTENER_STARTED, listener = %name, address = %address; "sloeline {name} listens on {address}");
     spawn_local(operator.clone().pose());
     if let Some(control) = control {
         let address = control.local_addr().map_err(|e| e.to_string())?;
-        tell!(CALLS_OPEN, at = %address; "sloeline {name} takes operators' calls on {address}");
+        emit!(CONTROL_LISTENING, at = %address; "sloeline {name} takes operators' calls on {address}");
         spawn_local(control::serve(control, operator.clone()));
     }
     if let Some(place) = place {
@@ -161,7 +161,7 @@
                 _ = terminate.recv() => {}
                 _ = interrupt.recv() => {}
             }
-            tell!(STOPPING; "sloeline: told to stop");
+            emit!(STOPPING; "sloeline: told to stop");
             operator.stop();
             let _ = stop.send(Phase::Stopping);
         }
--- a/sloeline/src/platform/operator.rs
+++ b/sloeline/src/platform/operator.rs
@@ -9,7 +9,7 @@
 
 use finchshift::Micros;
 use serde::{Deserialize, Serialize};
-use sloeline_events::tell;
+use sloeline_events::emit;
 use sloeline_membership::platform::List;
 use sloeline_operations::call::Call;
 use sloeline_operations::control::Operated;
@@ -161,7 +161,7 @@
                 Order::Standby => self.turn(|p| p.standby(Instant::now(), true)),
                 Order::Active => self.turn(|p| p.standby(Instant::now(), false)),
             }
-            tell!(TAKEN_OVER, order = %format!("{order:?}"); "sloeline: taken over from the other process: {order:?}");
+            emit!(ORDER_TAKEN_OVER, order = %format!("{order:?}"); "sloeline: taken over from the other process: {order:?}");
         }
         orders.clone_into(&mut self.orders.borrow_mut());
     }
@@ -206,10 +206,10 @@
             Order::TakeOut(_) | Order::PutBack(_) => {}
         }
         if changed {
-            tell!(ORDER_GIVEN, who = %"a call", thing = %format!("{order:?}"); "sloeline: ordered: {order:?}");
+            emit!(ORDER_GIVEN, who = %"a call", thing = %format!("{order:?}"); "sloeline: ordered: {order:?}");
             if let Some(Err(why)) = self.keep.as_ref().map(|keep| keep.write(&after)) {
                 // It holds in this process all the same, and passes over the link.
-                tell!(ORDERS_NOT_KEPT, why = %why; "sloeline: orders would be lost with this process: {why}");
+                emit!(ORDERS_NOT_SAVED, why = %why; "sloeline: orders would be lost with this process: {why}");
             }
             for side in [Side::Before, Side::After] {
                 self.say(side, Note::Orders(after.clone()));
@@ -231,7 +231,7 @@
         let before = async {
             if let Some(line) = before {
                 self.talk(line, Side::Before).await;
-                tell!(PROCESS_GONE, which = %"before"; "sloeline: the process before has gone");
+                emit!(PEER_PROCESS_GONE, which = %"before"; "sloeline: the process before has gone");
             }
         };
         tokio::join!(before, self.guests(&place));
@@ -243,16 +243,16 @@
             // The place is the newest's: where another holds it, that came later and is the one to be followed.
             let other = mine.is_some() && Mark::of(place).is_some_and(|there| Some(there) != mine);
             if other && occupied(place).await {
-                return tell!(LINK_LATER; "link: a later process is met from now on");
+                return emit!(LINK_PEER_BUSY; "link: a later process is met from now on");
             }
             match self.next_guest(place, &mut mine).await {
                 Ok(line) => {
-                    tell!(PROCESS_CAME; "sloeline: another process has come");
+                    emit!(PEER_PROCESS_CONNECTED; "sloeline: another process has come");
                     self.talk(line, Side::After).await;
-                    tell!(PROCESS_GONE, which = %"after"; "sloeline: the other process has gone");
+                    emit!(PEER_PROCESS_GONE, which = %"after"; "sloeline: the other process has gone");
                 }
                 Err(why) => {
-                    tell!(LINK_TROUBLE, why = %why; "link: {why}");
+                    emit!(LINK_FAILED, why = %why; "link: {why}");
                     sleep(PAUSE).await;
                 }
             }
--- a/sloeline/tests/reloads.rs
+++ b/sloeline/tests/reloads.rs
@@ -91,13 +91,14 @@
         let mut daemon = start(&text("safe")).await;
         let (to, work) = (public(&daemon), daemon.work());
         node.now(Does::Hang);
-        let turns = || work.with(|schedule, _| schedule.kinds().get("reload").map_or(0, |kind| kind.turns));
+        let turns =
+            || work.with_schedule(|schedule, _| schedule.kinds().get("reload").map_or(0, |kind| kind.turns));
         let before = turns();
         let mut asked = None;
         let meanwhile = async {
             // Its first turns, in which its only pool is planned.
             let hold = loop {
-                let turn = work.turn(Job::new("test", 1, Priority::Soon)).await.expect("a place");
+                let turn = work.acquire_turn(Job::new("test", 1, Priority::Normal)).await.expect("a place");
                 if turns() >= before + 2 {
                     break turn;
                 }
@@ -115,7 +116,7 @@
         assert_eq!(asked.await.expect("a client").0, Told::Served);
         assert_eq!(record.sends("n"), 2);
         // One that is left in a turn has changed nothing: what comes now is unsafe still.
-        let hold = work.turn(Job::new("test", 1, Priority::Soon)).await.expect("a place");
+        let hold = work.acquire_turn(Job::new("test", 1, Priority::Normal)).await.expect("a place");
         let turns_before = turns();
         let left = tokio::time::timeout(Duration::from_millis(20), daemon.reload(load(&text("safe")))).await;
         assert!(left.is_err());
--- a/work/benches/queue.rs
+++ b/work/benches/queue.rs
@@ -10,7 +10,7 @@
     for (queued, flows) in [(10, 4), (1_000, 100), (100_000, 4), (100_000, 10_000)] {
         let mut schedule = Schedule::new(2 * queued + 100, vec![Budget::new(1e12, 1e12)], 1);
         let file = |schedule: &mut Schedule, n: usize| {
-            let priority = [Priority::Later, Priority::Soon, Priority::Guard]
+            let priority = [Priority::Background, Priority::Normal, Priority::Critical]
                 [usize::from(n % 16 < 8) + usize::from(n.is_multiple_of(64))];
             let mut job = Job::new("job", (n % flows) as u32, priority);
             (job.key, job.deadline) =
@@ -32,7 +32,7 @@
     }
     let mut schedule = Schedule::new(200_000, vec![Budget::new(1e12, 1e12)], 1);
     for n in 0..100_000 {
-        let job = Job { earliest: 2_000_000, ..Job::new("job", n % 100, Priority::Soon) };
+        let job = Job { earliest: 2_000_000, ..Job::new("job", n % 100, Priority::Normal) };
         schedule.file(1_000_000, job).expect("a place");
     }
     let start = Instant::now();
--- a/work/src/budget.rs
+++ b/work/src/budget.rs
@@ -56,7 +56,7 @@
     }
 
     /// Units that are left; negative where it is overdrawn.
-    pub fn left(&self) -> f64 {
+    pub fn available(&self) -> f64 {
         self.left
     }
 
@@ -84,7 +84,7 @@
         assert!((500.0..=513.0).contains(&used), "{used}");
         // After an hour's rest only what gathers.
         budget.pass(3_600_000_000, 1.0);
-        assert_eq!(budget.left(), 10.0);
+        assert_eq!(budget.available(), 10.0);
     }
 
     #[test]
--- a/work/src/pressure.rs
+++ b/work/src/pressure.rs
@@ -49,13 +49,13 @@
     }
 
     /// The part of its budget that work may use: all of it while the lag is usual, and less in proportion beyond.
-    pub fn part(&self) -> f64 {
+    pub fn budget_share(&self) -> f64 {
         let usual = USUAL * self.quiet();
         if self.present <= usual { 1.0 } else { (usual / self.present).max(LEAST) }
     }
 
     /// The lag as it is, in microseconds.
-    pub fn lag(&self) -> f64 {
+    pub fn current_lag(&self) -> f64 {
         self.present
     }
 }
@@ -77,18 +77,22 @@
         };
         let second = 1_000_000;
         laps(&mut pressure, 50, second);
-        assert_eq!(pressure.part(), 1.0);
+        assert_eq!(pressure.budget_share(), 1.0);
         // One long lap is no pressure yet.
         laps(&mut pressure, 400, 1);
-        assert_eq!(pressure.part(), 1.0);
+        assert_eq!(pressure.budget_share(), 1.0);
         laps(&mut pressure, 4_000, 600 * second);
-        assert!(pressure.part() < 0.1 && pressure.part() >= LEAST, "{}", pressure.part());
+        assert!(
+            pressure.budget_share() < 0.1 && pressure.budget_share() >= LEAST,
+            "{}",
+            pressure.budget_share()
+        );
         laps(&mut pressure, 100_000, 10 * second);
-        assert_eq!(pressure.part(), LEAST);
+        assert_eq!(pressure.budget_share(), LEAST);
         laps(&mut pressure, 50, second);
-        assert_eq!(pressure.part(), 1.0);
+        assert_eq!(pressure.budget_share(), 1.0);
         // Where it never is quieter for an hour, that is what quiet is.
         laps(&mut pressure, 4_000, 3_700 * second);
-        assert_eq!(pressure.part(), 1.0);
+        assert_eq!(pressure.budget_share(), 1.0);
     }
 }
--- a/work/src/schedule.rs
+++ b/work/src/schedule.rs
@@ -4,7 +4,7 @@
 //! is to do. The order is:
 //!
 //! 1. jobs that guard a rule, those due first; budgets do not hold them, but are charged;
-//! 2. of the others, [`Priority::Soon`] has [`SOON`] turns for each of [`Priority::Later`], while both have some;
+//! 2. of the others, [`Priority::Normal`] has [`SOON`] turns for each of [`Priority::Background`], while both have some;
 //! 3. within a priority flows (pools, tenants) share by deficit round robin (Shreedhar and Varghese, 1996): each by its
 //!    weight in what its jobs use, whatever their number;
 //! 4. within a flow the earliest deadline, then the order of filing.
@@ -43,11 +43,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Priority {
     /// When nothing else is to do.
-    Later,
+    Background,
     /// Before long.
-    Soon,
+    Normal,
     /// A rule would be broken without it.
-    Guard,
+    Critical,
 }
 
 /// What becomes of runs of a periodic job whose time has passed.
@@ -205,7 +205,7 @@
 
 /// Of one kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Kind {
+pub struct KindStats {
     /// What a turn uses, learned.
     pub cost: f64,
     /// Turns.
@@ -239,7 +239,7 @@
     soon: u32,
     weights: HashMap<FlowId, f64>,
     budgets: Vec<Budget>,
-    kinds: BTreeMap<&'static str, Kind>,
+    kinds: BTreeMap<&'static str, KindStats>,
     /// How work gives way to requests.
     pub pressure: Pressure,
     now: Micros,
@@ -278,7 +278,7 @@
     }
 
     /// Another rate for a budget.
-    pub fn allow(&mut self, budget: usize, rate: f64, most: f64) {
+    pub fn set_budget(&mut self, budget: usize, rate: f64, most: f64) {
         if let Some(budget) = self.budgets.get_mut(budget) {
             budget.set(rate, most);
         }
@@ -290,7 +290,7 @@
     }
 
     /// What is known of each kind.
-    pub fn kinds(&self) -> &BTreeMap<&'static str, Kind> {
+    pub fn kinds(&self) -> &BTreeMap<&'static str, KindStats> {
         &self.kinds
     }
 
@@ -305,7 +305,7 @@
     }
 
     /// How long the job that has been ready longest has waited, and its kind.
-    pub fn oldest(&self) -> Option<(Micros, &'static str)> {
+    pub fn oldest_ready(&self) -> Option<(Micros, &'static str)> {
         let ready = self.jobs.values().filter(|held| held.state == State::Ready);
         ready.map(|held| (self.now.saturating_sub(held.due), held.job.kind)).max()
     }
@@ -313,7 +313,7 @@
     /// Time never goes back here, whatever the clock does.
     fn pass(&mut self, now: Micros) -> Micros {
         self.now = self.now.max(now);
-        let part = self.pressure.part();
+        let part = self.pressure.budget_share();
         for (at, budget) in self.budgets.iter_mut().enumerate() {
             budget.pass(self.now, if at == 0 { part } else { 1.0 });
         }
@@ -333,7 +333,8 @@
             self.sooner(id, &job);
             return Ok(id);
         }
-        let places = if job.priority == Priority::Guard { self.most } else { self.most - self.most / KEPT };
+        let places =
+            if job.priority == Priority::Critical { self.most } else { self.most - self.most / KEPT };
         if self.jobs.len() >= places {
             kind.refused += 1;
             return Err(Refused::Full { most: places });
@@ -422,7 +423,7 @@
         if held.before == 0 && due <= self.now {
             self.ready(id);
         } else {
-            self.timers[usize::from(held.priority == Priority::Guard)].push(Reverse((due, id)));
+            self.timers[usize::from(held.priority == Priority::Critical)].push(Reverse((due, id)));
         }
     }
 
@@ -432,8 +433,8 @@
         let place = (held.job.deadline.unwrap_or(Micros::MAX), id);
         let queue = (held.job.flow, held.job.budget);
         match held.priority {
-            Priority::Guard => _ = self.guards.insert(place),
-            other => self.rings[usize::from(other == Priority::Soon)].put(queue, place),
+            Priority::Critical => _ = self.guards.insert(place),
+            other => self.rings[usize::from(other == Priority::Normal)].put(queue, place),
         }
     }
 
@@ -442,8 +443,8 @@
         let place = (held.job.deadline.unwrap_or(Micros::MAX), id);
         let queue = (held.job.flow, held.job.budget);
         match held.priority {
-            Priority::Guard => _ = self.guards.remove(&place),
-            other => self.rings[usize::from(other == Priority::Soon)].remove(queue, place),
+            Priority::Critical => _ = self.guards.remove(&place),
+            other => self.rings[usize::from(other == Priority::Normal)].remove(queue, place),
         }
     }
 
@@ -515,9 +516,9 @@
         self.budgets[held.job.budget].take(used);
         let kind = self.kinds.entry(held.job.kind).or_default();
         kind.cost = if kind.turns <= 1 { used } else { kind.cost + LEARNED * (used - kind.cost) };
-        if held.priority != Priority::Guard {
+        if held.priority != Priority::Critical {
             // The flow pays for what was used, not for what was expected.
-            self.rings[usize::from(held.priority == Priority::Soon)]
+            self.rings[usize::from(held.priority == Priority::Normal)]
                 .charge((held.job.flow, held.job.budget), used);
         }
         held.state = State::Waits;
@@ -638,7 +639,7 @@
         let first =
             |t: &BinaryHeap<Reverse<(Micros, JobId)>>| t.peek().map(|Reverse((at, _))| (*at).max(self.now));
         let timer = self.timers.iter().filter_map(first).min();
-        let part = self.pressure.part();
+        let part = self.pressure.budget_share();
         let wanted = (0..self.budgets.len()).filter(|b| self.rings.iter().any(|ring| ring.on[*b] > 0));
         let opens = wanted.filter_map(|b| self.budgets[b].opens(if b == 0 { part } else { 1.0 }));
         opens.chain(timer).min()
--- a/work/src/shell.rs
+++ b/work/src/worker.rs
@@ -57,22 +57,22 @@
     }
 
     /// Looks at the schedule, or changes it.
-    pub fn with<T>(&self, look: impl FnOnce(&mut Schedule, Micros) -> T) -> T {
-        let done = look(&mut self.schedule.borrow_mut(), self.now());
+    pub fn with_schedule<T>(&self, access: impl FnOnce(&mut Schedule, Micros) -> T) -> T {
+        let result = access(&mut self.schedule.borrow_mut(), self.now());
         self.changed.notify_one();
-        done
+        result
     }
 
     /// Turns that lasted longer than their slice, and the longest of all.
-    pub fn overran(&self) -> (u64, Duration) {
+    pub fn slice_overruns(&self) -> (u64, Duration) {
         (self.overran.get(), self.longest.get())
     }
 
     /// Files a job and waits for its first turn. Dropped before, the job is taken back.
-    pub async fn turn(self: &Rc<Self>, job: Job) -> Result<Turn, Refused> {
+    pub async fn acquire_turn(self: &Rc<Self>, job: Job) -> Result<Turn, Refused> {
         // One that is like another would have its turn, and the other none.
         let job = Job { key: None, ..job };
-        let id = self.with(|schedule, now| schedule.file(now, job))?;
+        let id = self.with_schedule(|schedule, now| schedule.file(now, job))?;
         let mut turn =
             Turn { worker: self.clone(), job: id, began: Instant::now(), has: false, failed: false };
         turn.wait().await;
@@ -99,7 +99,8 @@
                     match waits.map(|waits| waits.send(())) {
                         Some(Ok(())) => ended.await,
                         // Nobody wants it any more.
-                        _ => self.with(|schedule, now| schedule.ended(now, turn.job, Ended::Done, 0.0)),
+                        _ => self
+                            .with_schedule(|schedule, now| schedule.ended(now, turn.job, Ended::Done, 0.0)),
                     }
                 }
                 (None, due) => {
@@ -131,7 +132,7 @@
     }
 
     /// Gives the turn back where its slice is used up, and waits for the next.
-    pub async fn rest(&mut self) {
+    pub async fn yield_if_over(&mut self) {
         if self.over() {
             self.give(Ended::More);
             self.wait().await;
@@ -152,7 +153,7 @@
             worker.overran.set(worker.overran.get() + 1);
         }
         worker.longest.set(worker.longest.get().max(used));
-        worker.with(|schedule, now| schedule.ended(now, self.job, ended, used.as_secs_f64() * 1e6));
+        worker.with_schedule(|schedule, now| schedule.ended(now, self.job, ended, used.as_secs_f64() * 1e6));
         worker.ended.notify_one();
     }
 }
@@ -164,7 +165,7 @@
             self.give(if failed { Ended::Failed } else { Ended::Done });
         } else {
             self.worker.waiting.borrow_mut().remove(&self.job);
-            self.worker.with(|schedule, _| schedule.cancel(self.job));
+            self.worker.with_schedule(|schedule, _| schedule.cancel(self.job));
         }
     }
 }
--- a/work/tests/legal.rs
+++ b/work/tests/legal.rs
@@ -52,7 +52,7 @@
                 let mut job = Job::new(
                     ["a", "b"][rng.usize(..2)],
                     rng.u32(..4),
-                    [Priority::Later, Priority::Soon, Priority::Guard][rng.usize(..3)],
+                    [Priority::Background, Priority::Normal, Priority::Critical][rng.usize(..3)],
                 );
                 job.key = rng.bool().then(|| rng.u64(..4));
                 job.earliest = now + rng.u64(..2) * rng.u64(..50 * MS);
@@ -87,7 +87,7 @@
                     }
                     (Err(why), _) => {
                         refused += 1;
-                        let places = if job.priority == Priority::Guard { most } else { most - most / 8 };
+                        let places = if job.priority == Priority::Critical { most } else { most - most / 8 };
                         assert_eq!(why, Refused::Full { most: places });
                         assert!(
                             known.len() >= places && alike.is_none(),
@@ -107,11 +107,11 @@
             for _ in 0..rng.usize(..4) {
                 let open: Vec<bool> = {
                     // As of now: the schedule lets time pass when it is asked.
-                    let _ = schedule.file(now, Job { budget: 9, ..Job::new("x", 0, Priority::Soon) });
+                    let _ = schedule.file(now, Job { budget: 9, ..Job::new("x", 0, Priority::Normal) });
                     schedule.budgets().iter().map(Budget::open).collect()
                 };
                 let ready = |k: &Known| !k.pausing && k.due <= now && k.after.is_empty();
-                let may = |k: &Known| k.job.priority == Priority::Guard || open[k.job.budget];
+                let may = |k: &Known| k.job.priority == Priority::Critical || open[k.job.budget];
                 let mut next = schedule.next(now);
                 while next.is_none() && schedule.due().is_some_and(|due| due <= now) {
                     next = schedule.next(now);
@@ -126,14 +126,17 @@
                 let k = known[&turn.job].clone();
                 assert!(k.pausing || ready(&k), "history {history}: {k:?} at {now}");
                 let priority = k.job.priority;
-                assert!(priority == Priority::Guard || open[k.job.budget], "history {history}: budget");
+                assert!(priority == Priority::Critical || open[k.job.budget], "history {history}: budget");
                 let place = |id: JobId, k: &Known| (k.job.deadline.unwrap_or(u64::MAX), id);
                 for (id, other) in known.iter().filter(|(id, o)| **id != turn.job && ready(o)) {
                     let theirs = other.job.priority;
                     // What guards a rule goes first; among those, and within a flow, the earliest deadline.
-                    assert!(theirs != Priority::Guard || priority == Priority::Guard, "history {history}");
+                    assert!(
+                        theirs != Priority::Critical || priority == Priority::Critical,
+                        "history {history}"
+                    );
                     let same = theirs == priority
-                        && (priority == Priority::Guard
+                        && (priority == Priority::Critical
                             || (other.job.flow, other.job.budget) == (k.job.flow, k.job.budget));
                     assert!(
                         !same || place(turn.job, &k) < place(*id, other),
@@ -189,7 +192,7 @@
     // A thousand times as many of one, and ten times as dear of another.
     for (kind, flow, n) in [("many", 0, 100_000), ("dear", 1, 1_000), ("heavy", 2, 10_000)] {
         for _ in 0..n {
-            schedule.file(now, Job::new(kind, flow, Priority::Soon)).expect("a place");
+            schedule.file(now, Job::new(kind, flow, Priority::Normal)).expect("a place");
         }
     }
     let mut used: BTreeMap<&str, f64> = BTreeMap::new();
@@ -210,10 +213,10 @@
 fn a_hundred_thousand_that_are_due_at_one_instant_do_not_stand_before_a_rule() {
     let mut schedule = Schedule::new(200_000, vec![Budget::new(1e9, 1e9)], 1);
     for n in 0..100_000 {
-        let job = Job { earliest: 2 * SECOND, ..Job::new("many", n % 100, Priority::Soon) };
+        let job = Job { earliest: 2 * SECOND, ..Job::new("many", n % 100, Priority::Normal) };
         schedule.file(SECOND, job).expect("a place");
     }
-    let guard = Job { earliest: 2 * SECOND, ..Job::new("guard", 0, Priority::Guard) };
+    let guard = Job { earliest: 2 * SECOND, ..Job::new("guard", 0, Priority::Critical) };
     schedule.file(SECOND, guard).expect("a place");
     assert_eq!(schedule.next(2 * SECOND).map(|turn| turn.kind), Some("guard"));
     let mut now = 2 * SECOND;
@@ -226,11 +229,11 @@
     let now = SECOND;
     for flow in 0..10 {
         for _ in 0..1_000 {
-            schedule.file(now, Job::new("soon", flow, Priority::Soon)).expect("a place");
+            schedule.file(now, Job::new("soon", flow, Priority::Normal)).expect("a place");
         }
     }
     for _ in 0..100 {
-        schedule.file(now, Job::new("later", 99, Priority::Later)).expect("a place");
+        schedule.file(now, Job::new("later", 99, Priority::Background)).expect("a place");
     }
     let mut since = 0;
     for _ in 0..400 {
@@ -246,14 +249,14 @@
     let mut schedule = Schedule::new(100, vec![Budget::new(0.0, 0.0), Budget::new(1e6, 1e6)], 1);
     let mut now = SECOND;
     for flow in 0..5 {
-        schedule.file(now, Job { budget: 1, ..Job::new("soon", flow, Priority::Soon) }).expect("a place");
+        schedule.file(now, Job { budget: 1, ..Job::new("soon", flow, Priority::Normal) }).expect("a place");
     }
-    let first = schedule.file(now, Job::new("first", 9, Priority::Later)).expect("a place");
+    let first = schedule.file(now, Job::new("first", 9, Priority::Background)).expect("a place");
     let second = schedule
-        .file(now, Job { after: vec![first], ..Job::new("second", 9, Priority::Later) })
+        .file(now, Job { after: vec![first], ..Job::new("second", 9, Priority::Background) })
         .expect("a place");
     // Nothing can run on a budget of nothing ...
-    let guard = Job { after: vec![second], ..Job::new("guard", 0, Priority::Guard) };
+    let guard = Job { after: vec![second], ..Job::new("guard", 0, Priority::Critical) };
     let told = drain(&mut schedule, &mut now, 10.0, 2 * SECOND);
     assert!(told.iter().all(|(kind, _)| *kind == "soon") && told.len() == 5, "{told:?}");
     assert_eq!((schedule.next(now), schedule.due(), schedule.len()), (None, None, 2));
@@ -274,7 +277,7 @@
         let mut schedule = Schedule::new(10, vec![Budget::new(1e9, 1e9)], 1);
         let period = Some(Period { every: SECOND, jitter: 0.0, late });
         let mut now = SECOND;
-        schedule.file(now, Job { period, ..Job::new("tick", 0, Priority::Soon) }).expect("a place");
+        schedule.file(now, Job { period, ..Job::new("tick", 0, Priority::Normal) }).expect("a place");
         let turn = schedule.next(now).expect("the first");
         let mut at = vec![now / MS];
         schedule.ended(now, turn.job, Ended::Done, 0.0);
@@ -294,7 +297,7 @@
     // Back: nothing runs before its time, and nothing twice.
     let mut schedule = Schedule::new(10, vec![Budget::new(1e9, 1e9)], 1);
     let period = Some(Period { every: SECOND, jitter: 0.5, late: Late::Once });
-    schedule.file(100 * SECOND, Job { period, ..Job::new("tick", 0, Priority::Soon) }).expect("a place");
+    schedule.file(100 * SECOND, Job { period, ..Job::new("tick", 0, Priority::Normal) }).expect("a place");
     let turn = schedule.next(100 * SECOND).expect("the first");
     schedule.ended(100 * SECOND, turn.job, Ended::Done, 0.0);
     assert!((0..100).all(|s| schedule.next(s * SECOND).is_none()));
@@ -310,8 +313,8 @@
         deadline: Some(SECOND + 5 * MS),
         ..Job::new(kind, 0, priority)
     };
-    schedule.file(SECOND, tick("guard", Priority::Guard, Late::Once)).expect("a place");
-    schedule.file(SECOND, tick("rest", Priority::Soon, Late::CatchUp(1_000))).expect("a place");
+    schedule.file(SECOND, tick("guard", Priority::Critical, Late::Once)).expect("a place");
+    schedule.file(SECOND, tick("rest", Priority::Normal, Late::CatchUp(1_000))).expect("a place");
     let (mut now, mut worst) = (SECOND, 0);
     let mut used = [[0.0; 2]; 3];
     let phases = [60 * SECOND, 660 * SECOND, 720 * SECOND];
@@ -356,10 +359,10 @@
 fn a_job_that_is_filed_again_while_it_runs_runs_once_more_behind_the_others() {
     let mut schedule = Schedule::new(100, vec![Budget::new(1e9, 1e9)], 1);
     let now = SECOND;
-    let own = Job { key: Some(7), ..Job::new("own", 0, Priority::Soon) };
+    let own = Job { key: Some(7), ..Job::new("own", 0, Priority::Normal) };
     let id = schedule.file(now, own.clone()).expect("a place");
     for _ in 0..3 {
-        schedule.file(now, Job::new("other", 1, Priority::Soon)).expect("a place");
+        schedule.file(now, Job::new("other", 1, Priority::Normal)).expect("a place");
     }
     let mut kinds = Vec::new();
     let mut own_runs = 0;
