--- a/work/src/budget.rs
+++ b/work/src/budget.rs
@@ -1,66 +1,74 @@
-//! What background work may use up: so much a second, and so much at once. Several kinds of things have a budget each:
-//! processor time, connections, bytes, questions to a registry.
+//! Token buckets that limit how much of a resource background work uses. Each resource has its own budget: processor time,
+//! connections, bytes, or requests to a registry.
 
 use finchshift::Micros;
 
-/// A bucket that fills at a rate. What is used may be known only afterwards, so it may be overdrawn; then nothing is left
-/// until it has filled again.
+/// A token bucket that refills at a constant rate. The amount that a turn uses is often known only after the turn, so the
+/// bucket can be overdrawn; no work starts until it is positive again.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Budget {
-    /// Units a second; 0 for none at all.
+    /// Refill rate in units per second; 0 never refills.
     rate: f64,
-    /// Most units that gather. Guards against a burst after a long rest.
-    most: f64,
-    left: f64,
-    at: Micros,
+    /// Capacity in units. Bounds the burst after a long idle time.
+    capacity: f64,
+    /// Units available now; negative while the bucket is overdrawn.
+    available: f64,
+    /// Time up to which the bucket has been refilled.
+    refilled_at: Micros,
 }
 
 impl Budget {
-    /// A full one.
-    pub fn new(rate: f64, most: f64) -> Budget {
-        Budget { rate: rate.max(0.0), most: most.max(0.0), left: most.max(0.0), at: 0 }
+    /// Creates a full bucket. Negative arguments count as 0.
+    pub fn new(rate: f64, capacity: f64) -> Budget {
+        Budget {
+            rate: rate.max(0.0),
+            capacity: capacity.max(0.0),
+            available: capacity.max(0.0),
+            refilled_at: 0,
+        }
     }
 
-    /// Goes on at another rate; what is left stays, as far as it still may gather.
-    pub fn set(&mut self, rate: f64, most: f64) {
-        (self.rate, self.most) = (rate.max(0.0), most.max(0.0));
-        self.left = self.left.min(self.most);
+    /// Changes the rate and the capacity. The units available stay, up to the new capacity.
+    pub fn set_rate(&mut self, rate: f64, capacity: f64) {
+        (self.rate, self.capacity) = (rate.max(0.0), capacity.max(0.0));
+        self.available = self.available.min(self.capacity);
     }
 
-    /// Lets time pass; `part` of the rate holds since the last time. Time that goes back changes nothing.
-    pub fn pass(&mut self, now: Micros, part: f64) {
-        let span = now.saturating_sub(self.at) as f64 / 1e6;
-        self.left = (self.left + span * self.rate * part.clamp(0.0, 1.0)).min(self.most);
-        self.at = self.at.max(now);
+    /// Refills the bucket up to `now`, at `share` (0 to 1) of the rate. A clock that goes backwards changes nothing.
+    pub fn refill(&mut self, now: Micros, share: f64) {
+        let elapsed_s = now.saturating_sub(self.refilled_at) as f64 / 1e6;
+        self.available = (self.available + elapsed_s * self.rate * share.clamp(0.0, 1.0)).min(self.capacity);
+        self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// Whether something may begin.
-    pub fn open(&self) -> bool {
-        self.left > 0.0
+    /// Whether a turn may start: some units are available.
+    pub fn is_open(&self) -> bool {
+        self.available > 0.0
     }
 
-    /// When something may begin, if `part` of the rate holds; none where that never is.
-    pub fn opens(&self, part: f64) -> Option<Micros> {
-        if self.open() {
-            return Some(self.at);
+    /// The earliest time at which a turn may start if the bucket refills at `share` of the rate; none if it never will.
+    pub fn opens_at(&self, share: f64) -> Option<Micros> {
+        if self.is_open() {
+            return Some(self.refilled_at);
         }
-        let rate = self.rate * part.clamp(0.0, 1.0);
-        // A hair more than to nothing.
-        (rate > 0.0 && self.most > 0.0).then(|| self.at + (-self.left / rate * 1e6).ceil() as Micros + 1)
+        let rate = self.rate * share.clamp(0.0, 1.0);
+        // One microsecond beyond the time at which the bucket is empty but no longer overdrawn.
+        (rate > 0.0 && self.capacity > 0.0)
+            .then(|| self.refilled_at + (-self.available / rate * 1e6).ceil() as Micros + 1)
     }
 
-    /// So much was used.
-    pub fn take(&mut self, used: f64) {
-        // No debt that outlives a whole filling twice over: guards against one wild figure that stops all work for good.
-        self.left = (self.left - used.max(0.0)).max(-2.0 * self.most.max(1.0));
+    /// Subtracts `used` units; the bucket may become overdrawn.
+    pub fn charge(&mut self, used: f64) {
+        // The debt is limited to two capacities, so that one wrong measurement cannot stop all work for good.
+        self.available = (self.available - used.max(0.0)).max(-2.0 * self.capacity.max(1.0));
     }
 
-    /// Units that are left; negative where it is overdrawn.
+    /// Units available now; negative while the bucket is overdrawn.
     pub fn available(&self) -> f64 {
-        self.left
+        self.available
     }
 
-    /// Units a second.
+    /// Refill rate in units per second.
     pub fn rate(&self) -> f64 {
         self.rate
     }
@@ -71,41 +79,41 @@
     use super::*;
 
     #[test]
-    fn no_more_than_the_rate_and_what_has_gathered_is_given() {
+    fn usage_is_bounded_by_rate_and_capacity() {
         let mut budget = Budget::new(100.0, 10.0);
         let mut used = 0.0;
         for now in 0..5_000_u64 {
-            budget.pass(now * 1000, 1.0);
-            while budget.open() {
-                budget.take(3.0);
+            budget.refill(now * 1000, 1.0);
+            while budget.is_open() {
+                budget.charge(3.0);
                 used += 3.0;
             }
         }
         assert!((500.0..=513.0).contains(&used), "{used}");
-        // After an hour's rest only what gathers.
-        budget.pass(3_600_000_000, 1.0);
+        // An idle hour fills the bucket to its capacity, not beyond.
+        budget.refill(3_600_000_000, 1.0);
         assert_eq!(budget.available(), 10.0);
     }
 
     #[test]
-    fn what_is_overdrawn_says_when_it_opens_again() {
+    fn overdrawn_budget_reports_when_it_opens_again() {
         let mut budget = Budget::new(100.0, 10.0);
-        budget.pass(1_000_000, 1.0);
-        budget.take(15.0);
+        budget.refill(1_000_000, 1.0);
+        budget.charge(15.0);
         assert_eq!(
-            (budget.open(), budget.opens(1.0), budget.opens(0.5)),
+            (budget.is_open(), budget.opens_at(1.0), budget.opens_at(0.5)),
             (false, Some(1_050_001), Some(1_100_001))
         );
-        budget.pass(1_050_001, 1.0);
-        assert!(budget.open());
-        // None at all, and a clock that goes back.
+        budget.refill(1_050_001, 1.0);
+        assert!(budget.is_open());
+        // A budget with rate 0 never opens. A clock that goes backwards changes nothing.
         let mut none = Budget::new(0.0, 0.0);
-        none.pass(9_000_000, 1.0);
-        assert_eq!((none.open(), none.opens(1.0)), (false, None));
-        budget.pass(0, 1.0);
-        assert!(budget.open());
-        // One wild figure.
-        budget.take(1e12);
-        assert!(budget.opens(1.0).is_some_and(|at| at < 2_000_000));
+        none.refill(9_000_000, 1.0);
+        assert_eq!((none.is_open(), none.opens_at(1.0)), (false, None));
+        budget.refill(0, 1.0);
+        assert!(budget.is_open());
+        // The debt after one wrong measurement is limited.
+        budget.charge(1e12);
+        assert!(budget.opens_at(1.0).is_some_and(|opens_at| opens_at < 2_000_000));
     }
 }
--- a/work/src/lib.rs
+++ b/work/src/lib.rs
@@ -1,7 +1,8 @@
-//! Background work of one instance: who goes next, how much, and who gives way.
+//! Scheduling of one instance's background work, so that it does not delay requests.
 //!
-//! [`schedule`] decides, without I/O and with the time as an argument; [`budget`] keeps what may be used up, and
-//! [`pressure`] learns when requests need the processor. [`worker`] runs turns on tokio.
+//! [`schedule`] decides which job runs next, without I/O and with the time passed as an argument. [`budget`] limits how
+//! much of a resource background work uses, and [`pressure`] estimates when requests need the processor. [`worker`] runs
+//! the jobs' turns on tokio.
 
 pub mod budget;
 pub mod pressure;
--- a/work/src/schedule.rs
+++ b/work/src/schedule.rs
@@ -1,19 +1,21 @@
-//! Which job goes next. No I/O, time as an argument.
+//! Decides which background job runs next. No I/O; the time is passed as an argument.
 //!
-//! A *job* is one piece of work that may take several *turns*; whoever runs it says after each what it used and whether more
-//! is to do. The order is:
+//! A *job* is a piece of work that may take several *turns*. After each turn its runner reports how much of the budget the
+//! turn used and whether the job is finished. Jobs run in this order:
 //!
-//! 1. jobs that guard a rule, those due first; budgets do not hold them, but are charged;
-//! 2. of the others, [`Priority::Normal`] has [`SOON`] turns for each of [`Priority::Background`], while both have some;
-//! 3. within a priority flows (pools, tenants) share by deficit round robin (Shreedhar and Varghese, 1996): each by its
-//!    weight in what its jobs use, whatever their number;
-//! 4. within a flow the earliest deadline, then the order of filing.
+//! 1. [`Priority::Critical`] jobs, earliest deadline first; budgets do not delay them, but are charged;
+//! 2. of the others, [`Priority::Normal`] gets [`NORMAL_TURNS_PER_BACKGROUND`] turns for each turn of
+//!    [`Priority::Background`] while both have ready jobs;
+//! 3. within a priority, flows (pools, tenants) share by deficit round robin (Shreedhar and Varghese, 1996): each gets a
+//!    share of the budget in proportion to its weight, however many jobs it has;
+//! 4. within a flow, the earliest deadline first, then the order of submission.
 //!
-//! **The bound on starvation.** A job of `Later` at the head of its flow, whose budget is open, begins after at most
-//! (`SOON` + 1) turns for each turn of its own priority before it, and of these each other flow has at most one quantum and
-//! one turn beyond it in a round.
+//! **Starvation bound.** A `Background` job at the head of its flow whose budget is open starts after at most
+//! (`NORMAL_TURNS_PER_BACKGROUND` + 1) turns for each turn of its own priority ahead of it. In each round, each other flow
+//! gets at most one quantum and one turn beyond it.
 //!
-//! A job that another one waits for has the higher priority of the two, so no rule waits behind what can wait.
+//! A job on which another job depends gets the higher of the two priorities, so that a critical job never waits behind less
+//! important jobs (priority inheritance).
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, VecDeque};
@@ -23,242 +25,265 @@
 use crate::budget::Budget;
 use crate::pressure::Pressure;
 
-/// Turns of `Soon` for each of `Later`.
-pub const SOON: u32 = 4;
-/// Part of the places that only jobs that guard a rule may take.
-const KEPT: usize = 8;
-/// Jobs that are looked at in one step as their time comes. Guards the loop against thousands that are due at one instant.
-const WOKEN: usize = 256;
-/// How fast the use of a kind is learned, a turn.
-const LEARNED: f64 = 0.1;
-/// Longest pause between two tries, in pauses of the first.
-const MOST_PAUSE: u64 = 64;
-
-/// A job's number.
+/// Turns of [`Priority::Normal`] for each turn of [`Priority::Background`] while both have ready jobs.
+pub const NORMAL_TURNS_PER_BACKGROUND: u32 = 4;
+/// One in this many places is reserved for critical jobs.
+const CRITICAL_RESERVE_DIVISOR: usize = 8;
+/// Maximum number of non-critical jobs that one call of [`Schedule::next_turn`] makes ready, so that thousands of jobs due
+/// at the same time do not block the event loop.
+const MAX_WOKEN_PER_STEP: usize = 256;
+/// Weight of the latest turn in the moving average of a kind's cost per turn.
+const COST_EMA_WEIGHT: f64 = 0.1;
+/// Maximum delay between two attempts, as a multiple of [`RetryPolicy::base_delay`].
+const MAX_BACKOFF_FACTOR: u64 = 64;
+
+/// Identifier of a job in a schedule.
 pub type JobId = u64;
-/// A flow's number: a pool, a tenant, or the instance itself.
+/// Identifier of a flow: the pool, tenant or instance on whose behalf a job runs.
 pub type FlowId = u32;
 
-/// What goes first.
+/// Priority of a job, in ascending order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Priority {
-    /// When nothing else is to do.
+    /// Runs when no other work is ready, and for a small share of turns otherwise.
     Background,
-    /// Before long.
+    /// Runs soon, but may wait for its budget.
     Normal,
-    /// A rule would be broken without it.
+    /// Runs first and does not wait for its budget, because a delay would violate a guarantee.
     Critical,
 }
 
-/// What becomes of runs of a periodic job whose time has passed.
+/// What happens to runs of a periodic job whose scheduled time has passed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Late {
-    /// They are left out: the next one is at the next time.
+pub enum MissedRuns {
+    /// Missed runs are skipped, except that a run less than one interval late still runs.
     Skip,
-    /// One is made up for.
-    Once,
-    /// So many are made up for at the most.
+    /// One run makes up for all missed runs.
+    RunOnce,
+    /// At most this many missed runs are made up for, one after the other.
     CatchUp(u32),
 }
 
-/// A job that comes again.
+/// Schedule of a periodic job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Period {
-    /// From one to the next.
-    pub every: Micros,
-    /// Each is this part of the period earlier or later at the most, so that many do not stay together.
+    /// Interval between the scheduled times of two runs.
+    pub interval: Micros,
+    /// Width, as a fraction of the interval, of the window around the scheduled time from which the actual time of a run is
+    /// drawn, so that periodic jobs do not stay synchronized.
     pub jitter: f64,
-    /// What of those that were missed.
-    pub late: Late,
+    /// What happens to missed runs.
+    pub missed_runs: MissedRuns,
 }
 
-/// Tries after a failure.
+/// How often and after which delays a failed job is retried.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Retries {
-    /// So many after the first.
-    pub most: u32,
-    /// The first pause; each is up to twice the one before, drawn at random.
-    pub pause: Micros,
+pub struct RetryPolicy {
+    /// Maximum number of retries after the first attempt.
+    pub max_retries: u32,
+    /// Upper bound of the delay before the first retry. The bound doubles with each retry, up to a limit; the delay is drawn at
+    /// random between half the bound and the bound.
+    pub base_delay: Micros,
 }
 
-/// A job as it is filed.
+/// A job as submitted to a schedule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Job {
-    /// What kind of work, for what is learned and told of it.
+    /// Kind of work, under which costs and counters are recorded.
     pub kind: &'static str,
-    /// Another one under the same kind and key, while this one waits, is this one. None is like no other.
+    /// A job submitted with the same kind and key as an unfinished job is merged with that job. None: never merged.
     pub key: Option<u64>,
-    /// Whose it is.
+    /// Flow that the job belongs to.
     pub flow: FlowId,
-    /// What goes first.
+    /// Priority of the job; jobs that depend on this one can raise its effective priority.
     pub priority: Priority,
-    /// Not before.
-    pub earliest: Micros,
-    /// By then; later it is late, and told.
+    /// Earliest time at which the job may start.
+    pub not_before: Micros,
+    /// Time by which the job should start; later turns are counted as late.
     pub deadline: Option<Micros>,
-    /// The budget that it draws on, by number.
+    /// Index of the budget that the job uses.
     pub budget: usize,
-    /// It comes again.
+    /// Schedule of a periodic job; none for a job that runs once.
     pub period: Option<Period>,
-    /// What after a failure.
-    pub retries: Option<Retries>,
-    /// It begins when these have ended, whichever way.
-    pub after: Vec<JobId>,
+    /// How the job is retried after a failure; none for a job that is not retried.
+    pub retry: Option<RetryPolicy>,
+    /// Jobs that must end, in success or failure, before this job starts.
+    pub dependencies: Vec<JobId>,
 }
 
 impl Job {
-    /// One that may begin now, draws on the first budget and waits for nobody.
+    /// Creates a job that may start now, uses the first budget and depends on no other job.
     pub fn new(kind: &'static str, flow: FlowId, priority: Priority) -> Job {
         Job {
             kind,
             key: None,
             flow,
             priority,
-            earliest: 0,
+            not_before: 0,
             deadline: None,
             budget: 0,
             period: None,
-            retries: None,
-            after: Vec::new(),
+            retry: None,
+            dependencies: Vec::new(),
         }
     }
 }
 
-/// Why a job was not taken.
+/// Why a job was not accepted. The variant is printed in error messages by `{:?}`, so variant and field names are stable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
-    /// All places are taken.
+pub enum Rejection {
+    /// All places available to the job's priority are taken.
     Full {
-        /// How many there are.
+        /// Number of places available to the job's priority.
         most: usize,
     },
-    /// No such budget.
+    /// The job names a budget that does not exist.
     Budget,
 }
 
-/// How a turn ended.
+/// How a turn of a job ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
-    /// All is done.
+pub enum TurnOutcome {
+    /// The job is finished.
     Done,
-    /// More is to do, in another turn.
-    More,
-    /// It failed, or panicked.
+    /// The job needs another turn.
+    Unfinished,
+    /// The job failed or panicked.
     Failed,
 }
 
-/// A turn that begins.
+/// A turn that starts now, with the job to run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Turn {
-    /// The job.
+    /// Job that gets the turn.
     pub job: JobId,
-    /// Its kind.
+    /// Kind of the job.
     pub kind: &'static str,
-    /// How far behind its deadline it begins; 0 for in time.
-    pub late: Micros,
+    /// Time from the job's deadline to the start of the turn; 0 if the turn starts in time.
+    pub late_by: Micros,
 }
 
+/// Where a job stands between submission and its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// Until its time, or until those that it waits for have ended.
-    Waits,
+    /// Waits for its time or for the jobs that it depends on.
+    Waiting,
+    /// May start as soon as a turn and its budget allow.
     Ready,
-    Runs,
+    /// Has a turn now.
+    Running,
 }
 
+/// A submitted job and its scheduling state.
 #[derive(Debug)]
-struct Held {
+struct Entry {
     job: Job,
     state: State,
-    /// Not lower than that of those that wait for it.
+    /// Effective priority: at least that of each job that depends on this one.
     priority: Priority,
-    /// How many it still waits for.
-    before: usize,
-    /// Those that wait for it.
+    /// Number of unfinished jobs that this job depends on.
+    pending_dependencies: usize,
+    /// Jobs that depend on this one.
     dependents: Vec<JobId>,
-    /// Not before.
+    /// Time at which the job becomes ready, once its dependencies have ended.
     due: Micros,
-    /// The time of its present run by its period, without jitter.
-    slot: Micros,
-    /// From a run's time to its deadline.
-    allowance: Option<Micros>,
+    /// Scheduled time of the current run of a periodic job, without jitter.
+    scheduled_at: Micros,
+    /// Time from the scheduled time of a run to its deadline.
+    deadline_offset: Option<Micros>,
+    /// Consecutive failed attempts of the current run.
     failures: u32,
+    /// Whether the job was cancelled during its turn; it ends with the turn.
     cancelled: bool,
-    /// Filed again while it ran.
-    again: bool,
+    /// Whether the job was submitted again during its turn and must run once more.
+    rerun: bool,
 }
 
-/// A flow's jobs on one budget: one that is used up holds none of the flow's others.
-type Queue = (FlowId, usize);
+/// Identifies a flow's queue of jobs for one budget. Separate queues let a flow continue on its other budgets when one is
+/// used up.
+type QueueKey = (FlowId, usize);
 
-/// Flows of one priority in turn.
+/// Ready jobs of one priority, with the deficit round-robin state of their flows.
 #[derive(Debug, Default)]
-struct Ring {
-    ready: HashMap<Queue, BTreeSet<(Micros, JobId)>>,
-    /// Those with something ready, each once.
-    round: VecDeque<Queue>,
-    /// What each may still use in this round; debts outlive the jobs that made them.
-    deficits: HashMap<Queue, f64>,
-    /// How many are ready on each budget.
-    on: Vec<usize>,
+struct RoundRobin {
+    /// Ready jobs of each queue, by deadline and identifier.
+    ready: HashMap<QueueKey, BTreeSet<(Micros, JobId)>>,
+    /// Queues with ready jobs, each once, in round-robin order.
+    rotation: VecDeque<QueueKey>,
+    /// Budget units that each queue may still use in this round. A negative deficit outlives the jobs that caused it.
+    deficits: HashMap<QueueKey, f64>,
+    /// Number of ready jobs for each budget.
+    ready_per_budget: Vec<usize>,
 }
 
-/// Of one kind.
+/// Counters and average cost of one kind of job.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct KindStats {
-    /// What a turn uses, learned.
+    /// Moving average of the budget units that a turn uses.
     pub cost: f64,
-    /// Turns.
+    /// Turns started.
     pub turns: u64,
-    /// Jobs that ended.
+    /// Runs that ended, in success or failure.
     pub done: u64,
-    /// Tries that failed.
+    /// Failed attempts, including those that were retried.
     pub failed: u64,
-    /// Turns that began after their deadline.
+    /// Turns that started after the job's deadline.
     pub late: u64,
-    /// Periodic runs that were left out.
+    /// Runs of periodic jobs that were skipped.
     pub skipped: u64,
-    /// Filed while one like it waited.
+    /// Submissions merged with an unfinished job of the same key.
     pub coalesced: u64,
-    /// Not taken for want of a place.
+    /// Submissions rejected because all places were taken.
     pub refused: u64,
 }
 
-/// All jobs.
+/// Queues of background jobs, and the rules by which they get turns.
 pub struct Schedule {
-    most: usize,
-    jobs: HashMap<JobId, Held>,
+    /// Maximum number of unfinished jobs.
+    capacity: usize,
+    /// All unfinished jobs.
+    jobs: HashMap<JobId, Entry>,
+    /// Unfinished jobs that have a key, by kind and key.
     keys: HashMap<(&'static str, u64), JobId>,
-    next: JobId,
-    /// Of jobs that wait; those that guard a rule have their own, so that thousands of others that are due at one instant
-    /// do not stand before them.
+    /// Identifier for the next submitted job.
+    next_id: JobId,
+    /// Wake-up times of waiting jobs: non-critical jobs, then critical jobs. Critical jobs have their own queue, so that
+    /// thousands of others due at the same time do not delay them.
     timers: [BinaryHeap<Reverse<(Micros, JobId)>>; 2],
-    guards: BTreeSet<(Micros, JobId)>,
-    rings: [Ring; 2],
-    /// Turns of `Soon` since the last of `Later`.
-    soon: u32,
+    /// Ready critical jobs, by deadline and identifier.
+    critical: BTreeSet<(Micros, JobId)>,
+    /// Ready jobs of the priorities `Background` and `Normal`, in this order.
+    round_robins: [RoundRobin; 2],
+    /// Turns of `Normal` since the last turn of `Background`.
+    normal_streak: u32,
+    /// Weights of flows whose weight is not 1.
     weights: HashMap<FlowId, f64>,
+    /// Budgets, by the index that jobs name.
     budgets: Vec<Budget>,
+    /// Counters and costs of each kind of job.
     kinds: BTreeMap<&'static str, KindStats>,
-    /// How work gives way to requests.
+    /// Reduces the processor budget when requests need the processor.
     pub pressure: Pressure,
+    /// Latest time that a caller has passed.
     now: Micros,
+    /// Source of jitter and retry delays.
     rng: fastrand::Rng,
 }
 
 impl Schedule {
-    /// With so many places and these budgets; jobs name them by their numbers. The first is processor time, in
-    /// microseconds, and the only one that gives way to requests.
-    pub fn new(most: usize, budgets: Vec<Budget>, seed: u64) -> Schedule {
+    /// Creates a schedule for at most `capacity` unfinished jobs. Jobs name the budgets by index. The first budget is processor
+    /// time in microseconds, and the only one that is reduced when requests need the processor.
+    pub fn new(capacity: usize, budgets: Vec<Budget>, seed: u64) -> Schedule {
         Schedule {
-            most,
+            capacity,
             jobs: HashMap::new(),
             keys: HashMap::new(),
-            next: 0,
+            next_id: 0,
             timers: Default::default(),
-            guards: BTreeSet::new(),
-            rings: [0, 1].map(|_| Ring { on: vec![0; budgets.len()], ..Ring::default() }),
-            soon: 0,
+            critical: BTreeSet::new(),
+            round_robins: [0, 1]
+                .map(|_| RoundRobin { ready_per_budget: vec![0; budgets.len()], ..RoundRobin::default() }),
+            normal_streak: 0,
             weights: HashMap::new(),
             budgets,
             kinds: BTreeMap::new(),
@@ -268,8 +293,8 @@
         }
     }
 
-    /// A flow's weight beside others, 1 where none is set.
-    pub fn weigh(&mut self, flow: FlowId, weight: f64) {
+    /// Sets a flow's weight relative to other flows; the default is 1.
+    pub fn set_weight(&mut self, flow: FlowId, weight: f64) {
         if weight > 0.0 && weight != 1.0 {
             self.weights.insert(flow, weight);
         } else {
@@ -277,109 +302,114 @@
         }
     }
 
-    /// Another rate for a budget.
-    pub fn set_budget(&mut self, budget: usize, rate: f64, most: f64) {
+    /// Changes the rate, in units per second, and the capacity of a budget.
+    pub fn set_budget(&mut self, budget: usize, rate: f64, capacity: f64) {
         if let Some(budget) = self.budgets.get_mut(budget) {
-            budget.set(rate, most);
+            budget.set_rate(rate, capacity);
         }
     }
 
-    /// The budgets.
+    /// The budgets, by the index that jobs name.
     pub fn budgets(&self) -> &[Budget] {
         &self.budgets
     }
 
-    /// What is known of each kind.
+    /// Counters and average cost of each kind of job.
     pub fn kinds(&self) -> &BTreeMap<&'static str, KindStats> {
         &self.kinds
     }
 
-    /// Jobs that wait, are ready, or run.
+    /// Number of jobs that are waiting, ready or running.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// There are none.
+    /// Whether no job is waiting, ready or running.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
-    /// How long the job that has been ready longest has waited, and its kind.
+    /// How long the job that has been ready longest has waited, in microseconds, and its kind.
     pub fn oldest_ready(&self) -> Option<(Micros, &'static str)> {
-        let ready = self.jobs.values().filter(|held| held.state == State::Ready);
-        ready.map(|held| (self.now.saturating_sub(held.due), held.job.kind)).max()
+        let ready = self.jobs.values().filter(|entry| entry.state == State::Ready);
+        ready.map(|entry| (self.now.saturating_sub(entry.due), entry.job.kind)).max()
     }
 
-    /// Time never goes back here, whatever the clock does.
-    fn pass(&mut self, now: Micros) -> Micros {
+    /// Advances the schedule's clock and refills the budgets. The clock never goes backwards, even if `now` does.
+    fn advance(&mut self, now: Micros) -> Micros {
         self.now = self.now.max(now);
-        let part = self.pressure.budget_share();
+        let share = self.pressure.budget_share();
         for (at, budget) in self.budgets.iter_mut().enumerate() {
-            budget.pass(self.now, if at == 0 { part } else { 1.0 });
+            budget.refill(self.now, if at == 0 { share } else { 1.0 });
         }
         self.now
     }
 
-    /// Takes a job; its number, or that of the one that it is. A job that runs is run once more.
-    pub fn file(&mut self, now: Micros, job: Job) -> Result<JobId, Refused> {
-        let now = self.pass(now);
+    /// Accepts a job and returns its identifier. A job with the kind and key of an unfinished job is merged with it and gets its
+    /// identifier; if that job is running, it runs once more.
+    pub fn submit(&mut self, now: Micros, job: Job) -> Result<JobId, Rejection> {
+        let now = self.advance(now);
         if job.budget >= self.budgets.len() {
-            return Err(Refused::Budget);
+            return Err(Rejection::Budget);
         }
         let kind = self.kinds.entry(job.kind).or_default();
-        let known = job.key.and_then(|key| self.keys.get(&(job.kind, key))).copied();
-        if let Some(id) = known {
+        let existing = job.key.and_then(|key| self.keys.get(&(job.kind, key))).copied();
+        if let Some(id) = existing {
             kind.coalesced += 1;
-            self.sooner(id, &job);
+            self.merge(id, &job);
             return Ok(id);
         }
-        let places =
-            if job.priority == Priority::Critical { self.most } else { self.most - self.most / KEPT };
+        let places = if job.priority == Priority::Critical {
+            self.capacity
+        } else {
+            self.capacity - self.capacity / CRITICAL_RESERVE_DIVISOR
+        };
         if self.jobs.len() >= places {
             kind.refused += 1;
-            return Err(Refused::Full { most: places });
+            return Err(Rejection::Full { most: places });
         }
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_id;
+        self.next_id += 1;
         if let Some(key) = job.key {
             self.keys.insert((job.kind, key), id);
         }
-        let before: Vec<JobId> = job.after.iter().copied().filter(|id| self.jobs.contains_key(id)).collect();
-        for other in &before {
-            if let Some(held) = self.jobs.get_mut(other) {
-                held.dependents.push(id);
+        let dependencies: Vec<JobId> =
+            job.dependencies.iter().copied().filter(|id| self.jobs.contains_key(id)).collect();
+        for other in &dependencies {
+            if let Some(entry) = self.jobs.get_mut(other) {
+                entry.dependents.push(id);
             }
         }
-        let (priority, due) = (job.priority, job.earliest.max(now));
-        let held = Held {
+        let (priority, due) = (job.priority, job.not_before.max(now));
+        let entry = Entry {
             priority,
-            state: State::Waits,
-            before: before.len(),
+            state: State::Waiting,
+            pending_dependencies: dependencies.len(),
             dependents: Vec::new(),
             due,
-            slot: due,
-            allowance: job.deadline.map(|deadline| deadline.saturating_sub(due)),
+            scheduled_at: due,
+            deadline_offset: job.deadline.map(|deadline| deadline.saturating_sub(due)),
             failures: 0,
             cancelled: false,
-            again: false,
+            rerun: false,
             job,
         };
-        self.jobs.insert(id, held);
-        before.into_iter().for_each(|other| self.raise(other, priority));
-        self.wait(id, due);
+        self.jobs.insert(id, entry);
+        dependencies.into_iter().for_each(|other| self.raise_priority(other, priority));
+        self.ready_or_wait(id, due);
         Ok(id)
     }
 
-    /// What is filed again is due as the sooner of both says, and as important as the more important.
-    fn sooner(&mut self, id: JobId, job: &Job) {
-        self.raise(id, job.priority);
-        let Some(held) = self.jobs.get_mut(&id) else { return };
-        match held.state {
-            State::Runs => held.again = true,
-            State::Waits if job.earliest.max(self.now) < held.due => {
-                held.due = job.earliest.max(self.now);
-                let due = held.due;
-                self.wait(id, due);
+    /// Merges a newly submitted job into an unfinished one: the earlier time and deadline and the higher priority apply.
+    fn merge(&mut self, id: JobId, job: &Job) {
+        self.raise_priority(id, job.priority);
+        let Some(entry) = self.jobs.get_mut(&id) else { return };
+        match entry.state {
+            State::Running => entry.rerun = true,
+            State::Waiting if job.not_before.max(self.now) < entry.due => {
+                entry.due = job.not_before.max(self.now);
+                let due = entry.due;
+                self.ready_or_wait(id, due);
             }
             _ => {}
         }
@@ -387,311 +417,330 @@
             (Some(a), Some(b)) => Some(a.min(b)),
             (a, b) => a.or(b),
         };
-        self.reorder(id, |held| held.job.deadline = deadline);
+        self.reorder(id, |entry| entry.job.deadline = deadline);
     }
 
-    /// Gives a job, and all that it waits for, at least this priority.
-    fn raise(&mut self, id: JobId, priority: Priority) {
+    /// Gives a job, and all jobs that it depends on, at least this priority.
+    fn raise_priority(&mut self, id: JobId, priority: Priority) {
         let mut pending = vec![id];
         while let Some(id) = pending.pop() {
-            let Some(held) = self.jobs.get(&id).filter(|held| held.priority < priority) else { continue };
-            pending.extend(held.job.after.iter().copied());
-            self.reorder(id, |held| held.priority = priority);
-            if let Some(held) = self.jobs.get(&id).filter(|held| held.state == State::Waits) {
-                let due = held.due;
-                self.wait(id, due);
+            let Some(entry) = self.jobs.get(&id).filter(|entry| entry.priority < priority) else { continue };
+            pending.extend(entry.job.dependencies.iter().copied());
+            self.reorder(id, |entry| entry.priority = priority);
+            if let Some(entry) = self.jobs.get(&id).filter(|entry| entry.state == State::Waiting) {
+                let due = entry.due;
+                self.ready_or_wait(id, due);
             }
         }
     }
 
-    /// Changes what a job is ordered by.
-    fn reorder(&mut self, id: JobId, change: impl FnOnce(&mut Held)) {
-        let ready = self.jobs.get(&id).is_some_and(|held| held.state == State::Ready);
+    /// Changes fields that determine a job's position, and moves the job to its new position if it is ready.
+    fn reorder(&mut self, id: JobId, change: impl FnOnce(&mut Entry)) {
+        let ready = self.jobs.get(&id).is_some_and(|entry| entry.state == State::Ready);
         if ready {
-            self.unready(id);
+            self.remove_ready(id);
         }
-        if let Some(held) = self.jobs.get_mut(&id) {
-            change(held);
+        if let Some(entry) = self.jobs.get_mut(&id) {
+            change(entry);
         }
         if ready {
-            self.ready(id);
+            self.make_ready(id);
         }
     }
 
-    fn wait(&mut self, id: JobId, due: Micros) {
-        let Some(held) = self.jobs.get(&id) else { return };
-        if held.before == 0 && due <= self.now {
-            self.ready(id);
+    /// Makes a job ready if it is due and has no unfinished dependencies; otherwise sets a timer for `due`.
+    fn ready_or_wait(&mut self, id: JobId, due: Micros) {
+        let Some(entry) = self.jobs.get(&id) else { return };
+        if entry.pending_dependencies == 0 && due <= self.now {
+            self.make_ready(id);
         } else {
-            self.timers[usize::from(held.priority == Priority::Critical)].push(Reverse((due, id)));
+            self.timers[usize::from(entry.priority == Priority::Critical)].push(Reverse((due, id)));
         }
     }
 
-    fn ready(&mut self, id: JobId) {
-        let Some(held) = self.jobs.get_mut(&id) else { return };
-        held.state = State::Ready;
-        let place = (held.job.deadline.unwrap_or(Micros::MAX), id);
-        let queue = (held.job.flow, held.job.budget);
-        match held.priority {
-            Priority::Critical => _ = self.guards.insert(place),
-            other => self.rings[usize::from(other == Priority::Normal)].put(queue, place),
+    /// Marks a job as ready and adds it to the queue of its priority.
+    fn make_ready(&mut self, id: JobId) {
+        let Some(entry) = self.jobs.get_mut(&id) else { return };
+        entry.state = State::Ready;
+        let place = (entry.job.deadline.unwrap_or(Micros::MAX), id);
+        let queue = (entry.job.flow, entry.job.budget);
+        match entry.priority {
+            Priority::Critical => _ = self.critical.insert(place),
+            other => self.round_robins[usize::from(other == Priority::Normal)].insert(queue, place),
         }
     }
 
-    fn unready(&mut self, id: JobId) {
-        let Some(held) = self.jobs.get(&id) else { return };
-        let place = (held.job.deadline.unwrap_or(Micros::MAX), id);
-        let queue = (held.job.flow, held.job.budget);
-        match held.priority {
-            Priority::Critical => _ = self.guards.remove(&place),
-            other => self.rings[usize::from(other == Priority::Normal)].remove(queue, place),
+    /// Removes a ready job from the queue of its priority.
+    fn remove_ready(&mut self, id: JobId) {
+        let Some(entry) = self.jobs.get(&id) else { return };
+        let place = (entry.job.deadline.unwrap_or(Micros::MAX), id);
+        let queue = (entry.job.flow, entry.job.budget);
+        match entry.priority {
+            Priority::Critical => _ = self.critical.remove(&place),
+            other => self.round_robins[usize::from(other == Priority::Normal)].remove(queue, place),
         }
     }
 
-    /// Jobs whose time has come: all that guard a rule, and [`WOKEN`] others.
-    fn wake(&mut self) {
-        let mut left = WOKEN;
-        for guard in [true, false] {
-            while (guard || left > 0)
-                && let Some(Reverse((at, id))) = self.timers[usize::from(guard)].peek().copied()
+    /// Makes due jobs ready: all critical jobs, and at most [`MAX_WOKEN_PER_STEP`] others.
+    fn wake_due(&mut self) {
+        let mut remaining = MAX_WOKEN_PER_STEP;
+        for critical in [true, false] {
+            while (critical || remaining > 0)
+                && let Some(Reverse((at, id))) = self.timers[usize::from(critical)].peek().copied()
                 && at <= self.now
             {
-                self.timers[usize::from(guard)].pop();
-                left -= usize::from(!guard);
-                self.woken(id);
+                self.timers[usize::from(critical)].pop();
+                remaining -= usize::from(!critical);
+                self.wake_job(id);
             }
         }
     }
 
-    fn woken(&mut self, id: JobId) {
-        // One that was filed again sooner has two timers, and the later one finds it gone on.
-        let due = |held: &&Held| held.state == State::Waits && held.before == 0 && held.due <= self.now;
-        let Some(held) = self.jobs.get(&id).filter(due) else { return };
-        // Woken long after its time, as when the clock jumps.
-        if let Some(period) = held.job.period.filter(|p| held.slot + p.every.max(1) <= self.now) {
-            self.align(id, self.now, period);
+    /// Handles the expiry of a job's timer.
+    fn wake_job(&mut self, id: JobId) {
+        // A job that was merged with an earlier submission has two timers; the later timer finds it no longer waiting.
+        let due = |entry: &&Entry| {
+            entry.state == State::Waiting && entry.pending_dependencies == 0 && entry.due <= self.now
+        };
+        let Some(entry) = self.jobs.get(&id).filter(due) else { return };
+        // The timer expired at least one interval late, for example because the clock jumped.
+        if let Some(period) = entry.job.period.filter(|p| entry.scheduled_at + p.interval.max(1) <= self.now)
+        {
+            self.align_to_period(id, self.now, period);
         }
-        let due = self.jobs.get(&id).map_or(0, |held| held.due);
-        self.wait(id, due);
+        let due = self.jobs.get(&id).map_or(0, |entry| entry.due);
+        self.ready_or_wait(id, due);
     }
 
-    /// The next turn, if one may begin now. None while [`due`](Schedule::due) is now: some were looked at, and more are to
-    /// be, in another step.
-    pub fn next(&mut self, now: Micros) -> Option<Turn> {
-        let now = self.pass(now);
-        self.wake();
-        let id = match self.guards.pop_first() {
+    /// Starts the next turn, if a job may run now. None while [`next_due`](Schedule::next_due) is now means that the limit of
+    /// jobs made ready in one step was reached: call again.
+    pub fn next_turn(&mut self, now: Micros) -> Option<Turn> {
+        let now = self.advance(now);
+        self.wake_due();
+        let id = match self.critical.pop_first() {
             Some((_, id)) => id,
-            None => self.other()?,
+            None => self.next_non_critical()?,
         };
-        let held = self.jobs.get_mut(&id)?;
-        held.state = State::Runs;
-        let late = held.job.deadline.map_or(0, |deadline| now.saturating_sub(deadline));
-        let kind = self.kinds.entry(held.job.kind).or_default();
+        let entry = self.jobs.get_mut(&id)?;
+        entry.state = State::Running;
+        let late_by = entry.job.deadline.map_or(0, |deadline| now.saturating_sub(deadline));
+        let kind = self.kinds.entry(entry.job.kind).or_default();
         kind.turns += 1;
-        kind.late += u64::from(late > 0);
-        Some(Turn { job: id, kind: held.job.kind, late })
+        kind.late += u64::from(late_by > 0);
+        Some(Turn { job: id, kind: entry.job.kind, late_by })
     }
 
-    /// The next of those that guard no rule.
-    fn other(&mut self) -> Option<JobId> {
-        // `Later` has its turn, or `Soon` has none.
-        let first = usize::from(self.soon < SOON);
-        let open: Vec<bool> = self.budgets.iter().map(Budget::open).collect();
-        // Each round lets each flow begin a turn of any kind.
+    /// Takes the next job of the priorities `Normal` and `Background` from its queue.
+    fn next_non_critical(&mut self) -> Option<JobId> {
+        // Index of the priority that goes first: 1 for `Normal`, 0 for `Background` after its share of `Normal` turns.
+        let first = usize::from(self.normal_streak < NORMAL_TURNS_PER_BACKGROUND);
+        let open: Vec<bool> = self.budgets.iter().map(Budget::is_open).collect();
+        // The quantum covers the most expensive kind, so that each flow can start a turn of any kind in each round.
         let quantum = self.kinds.values().map(|kind| kind.cost).fold(1.0, f64::max);
         for at in [first, 1 - first] {
-            if let Some(id) = self.rings[at].next(&open, quantum, &self.weights) {
-                self.soon = if at == 1 { self.soon + 1 } else { 0 };
+            if let Some(id) = self.round_robins[at].next_job(&open, quantum, &self.weights) {
+                self.normal_streak = if at == 1 { self.normal_streak + 1 } else { 0 };
                 return Some(id);
             }
         }
         None
     }
 
-    /// A turn has ended, and has used so much of its budget.
-    pub fn ended(&mut self, now: Micros, id: JobId, ended: Ended, used: f64) {
-        let now = self.pass(now);
-        let Some(held) = self.jobs.get_mut(&id).filter(|held| held.state == State::Runs) else { return };
-        self.budgets[held.job.budget].take(used);
-        let kind = self.kinds.entry(held.job.kind).or_default();
-        kind.cost = if kind.turns <= 1 { used } else { kind.cost + LEARNED * (used - kind.cost) };
-        if held.priority != Priority::Critical {
-            // The flow pays for what was used, not for what was expected.
-            self.rings[usize::from(held.priority == Priority::Normal)]
-                .charge((held.job.flow, held.job.budget), used);
-        }
-        held.state = State::Waits;
-        if held.cancelled {
-            return self.forget(id);
-        }
-        match (ended, held.job.retries) {
-            (Ended::More, _) => {
-                held.due = now;
-                self.ready(id);
+    /// Records that a job's turn has ended and has used `used` units of its budget.
+    pub fn end_turn(&mut self, now: Micros, id: JobId, outcome: TurnOutcome, used: f64) {
+        let now = self.advance(now);
+        let Some(entry) = self.jobs.get_mut(&id).filter(|entry| entry.state == State::Running) else {
+            return;
+        };
+        self.budgets[entry.job.budget].charge(used);
+        let kind = self.kinds.entry(entry.job.kind).or_default();
+        kind.cost = if kind.turns <= 1 { used } else { kind.cost + COST_EMA_WEIGHT * (used - kind.cost) };
+        if entry.priority != Priority::Critical {
+            // The flow is charged the measured use, not the expected use.
+            self.round_robins[usize::from(entry.priority == Priority::Normal)]
+                .charge((entry.job.flow, entry.job.budget), used);
+        }
+        entry.state = State::Waiting;
+        if entry.cancelled {
+            return self.remove_job(id);
+        }
+        match (outcome, entry.job.retry) {
+            (TurnOutcome::Unfinished, _) => {
+                entry.due = now;
+                self.make_ready(id);
             }
-            (Ended::Failed, Some(retries)) if held.failures < retries.most => {
+            (TurnOutcome::Failed, Some(retry)) if entry.failures < retry.max_retries => {
                 kind.failed += 1;
-                let longest = retries.pause.saturating_mul((1_u64 << held.failures.min(32)).min(MOST_PAUSE));
-                held.failures += 1;
-                held.due = now + longest / 2 + self.rng.u64(..=longest / 2);
-                let due = held.due;
-                self.wait(id, due);
+                let max_delay = retry
+                    .base_delay
+                    .saturating_mul((1_u64 << entry.failures.min(32)).min(MAX_BACKOFF_FACTOR));
+                entry.failures += 1;
+                entry.due = now + max_delay / 2 + self.rng.u64(..=max_delay / 2);
+                let due = entry.due;
+                self.ready_or_wait(id, due);
             }
-            (ended, _) => {
-                kind.failed += u64::from(ended == Ended::Failed);
+            (outcome, _) => {
+                kind.failed += u64::from(outcome == TurnOutcome::Failed);
                 kind.done += 1;
-                held.failures = 0;
-                match held.job.period {
-                    Some(period) => self.again(id, now, period),
-                    // Filed again meanwhile: behind all that its flow has ready.
-                    None if std::mem::take(&mut held.again) => {
-                        held.due = now;
-                        self.release(id);
-                        self.ready(id);
+                entry.failures = 0;
+                match entry.job.period {
+                    Some(period) => self.schedule_next_run(id, now, period),
+                    // Submitted again during its turn: runs once more, behind the ready jobs of its flow.
+                    None if std::mem::take(&mut entry.rerun) => {
+                        entry.due = now;
+                        self.release_dependents(id);
+                        self.make_ready(id);
                     }
-                    None => self.forget(id),
+                    None => self.remove_job(id),
                 }
             }
         }
     }
 
-    /// When a periodic job is due next.
-    fn again(&mut self, id: JobId, now: Micros, period: Period) {
-        self.release(id);
-        let Some(held) = self.jobs.get_mut(&id) else { return };
-        held.slot += period.every.max(1);
-        held.again = false;
-        self.align(id, now, period);
-        if let Some(due) = self.jobs.get(&id).map(|held| held.due) {
-            self.wait(id, due);
+    /// Sets a periodic job's next scheduled time after a run has ended.
+    fn schedule_next_run(&mut self, id: JobId, now: Micros, period: Period) {
+        self.release_dependents(id);
+        let Some(entry) = self.jobs.get_mut(&id) else { return };
+        entry.scheduled_at += period.interval.max(1);
+        entry.rerun = false;
+        self.align_to_period(id, now, period);
+        if let Some(due) = self.jobs.get(&id).map(|entry| entry.due) {
+            self.ready_or_wait(id, due);
         }
     }
 
-    /// Puts a periodic job at the first of its times that is to be run: those that have passed are left out or made up for.
-    fn align(&mut self, id: JobId, now: Micros, period: Period) {
-        let Some(held) = self.jobs.get_mut(&id) else { return };
-        let every = period.every.max(1);
-        let passed = if held.slot > now { 0 } else { (now - held.slot) / every + 1 };
-        let made_up = match period.late {
-            // Less than a period late is not left out.
-            Late::Skip => u64::from(passed == 1),
-            Late::Once => passed.min(1),
-            Late::CatchUp(most) => passed.min(u64::from(most)),
+    /// Moves a periodic job to the first scheduled time that must run; missed runs are skipped or made up for as its
+    /// [`MissedRuns`] says.
+    fn align_to_period(&mut self, id: JobId, now: Micros, period: Period) {
+        let Some(entry) = self.jobs.get_mut(&id) else { return };
+        let interval = period.interval.max(1);
+        let missed = if entry.scheduled_at > now { 0 } else { (now - entry.scheduled_at) / interval + 1 };
+        let made_up = match period.missed_runs {
+            // A run less than one interval late is not skipped.
+            MissedRuns::Skip => u64::from(missed == 1),
+            MissedRuns::RunOnce => missed.min(1),
+            MissedRuns::CatchUp(max_runs) => missed.min(u64::from(max_runs)),
         };
-        self.kinds.entry(held.job.kind).or_default().skipped += passed - made_up;
-        held.slot += (passed - made_up) * every;
-        held.due = if held.slot <= now {
+        self.kinds.entry(entry.job.kind).or_default().skipped += missed - made_up;
+        entry.scheduled_at += (missed - made_up) * interval;
+        entry.due = if entry.scheduled_at <= now {
             now
         } else {
-            let spread = (every as f64 * period.jitter.clamp(0.0, 1.0)) as Micros;
-            (held.slot - spread / 2 + self.rng.u64(..=spread)).max(now)
+            let jitter = (interval as f64 * period.jitter.clamp(0.0, 1.0)) as Micros;
+            (entry.scheduled_at - jitter / 2 + self.rng.u64(..=jitter)).max(now)
         };
-        held.job.deadline = held.allowance.map(|allowance| held.slot + allowance);
+        entry.job.deadline = entry.deadline_offset.map(|offset| entry.scheduled_at + offset);
     }
 
-    /// Those that waited for a job wait no longer.
-    fn release(&mut self, id: JobId) {
-        let dependents = self.jobs.get_mut(&id).map(|held| std::mem::take(&mut held.dependents));
+    /// Releases the jobs that depend on an ended job.
+    fn release_dependents(&mut self, id: JobId) {
+        let dependents = self.jobs.get_mut(&id).map(|entry| std::mem::take(&mut entry.dependents));
         for other in dependents.unwrap_or_default() {
-            let Some(held) = self.jobs.get_mut(&other) else { continue };
-            held.before = held.before.saturating_sub(1);
-            let (due, free) = (held.due, held.before == 0 && held.state == State::Waits);
-            if free {
-                self.wait(other, due);
+            let Some(entry) = self.jobs.get_mut(&other) else { continue };
+            entry.pending_dependencies = entry.pending_dependencies.saturating_sub(1);
+            let (due, runnable) =
+                (entry.due, entry.pending_dependencies == 0 && entry.state == State::Waiting);
+            if runnable {
+                self.ready_or_wait(other, due);
             }
         }
     }
 
-    fn forget(&mut self, id: JobId) {
-        self.release(id);
-        if let Some(held) = self.jobs.remove(&id)
-            && let Some(key) = held.job.key
+    /// Removes a job from the schedule and releases its dependents.
+    fn remove_job(&mut self, id: JobId) {
+        self.release_dependents(id);
+        if let Some(entry) = self.jobs.remove(&id)
+            && let Some(key) = entry.job.key
         {
-            self.keys.remove(&(held.job.kind, key));
+            self.keys.remove(&(entry.job.kind, key));
         }
     }
 
-    /// Takes a job back. One that runs ends with its turn; false if there is no such job.
+    /// Cancels a job; a running job ends with its turn. Returns false if the job does not exist.
     pub fn cancel(&mut self, id: JobId) -> bool {
-        let Some(held) = self.jobs.get_mut(&id) else { return false };
-        match held.state {
-            State::Runs => held.cancelled = true,
+        let Some(entry) = self.jobs.get_mut(&id) else { return false };
+        match entry.state {
+            State::Running => entry.cancelled = true,
             State::Ready => {
-                self.unready(id);
-                self.forget(id);
+                self.remove_ready(id);
+                self.remove_job(id);
             }
-            State::Waits => self.forget(id),
+            State::Waiting => self.remove_job(id),
         }
         true
     }
 
-    /// Whether a job that runs was taken back.
-    pub fn cancelled(&self, id: JobId) -> bool {
-        self.jobs.get(&id).is_none_or(|held| held.cancelled)
+    /// Whether a running job was cancelled or no longer exists.
+    pub fn is_cancelled(&self, id: JobId) -> bool {
+        self.jobs.get(&id).is_none_or(|entry| entry.cancelled)
     }
 
-    /// When [`next`](Schedule::next) may have a turn; now, if one may begin.
-    pub fn due(&self) -> Option<Micros> {
-        if !self.guards.is_empty() {
+    /// The time at which [`next_turn`](Schedule::next_turn) may start a turn: the present if a job can start now, none if no
+    /// job is waiting for a time or an open budget.
+    pub fn next_due(&self) -> Option<Micros> {
+        if !self.critical.is_empty() {
             return Some(self.now);
         }
-        let first =
+        let earliest =
             |t: &BinaryHeap<Reverse<(Micros, JobId)>>| t.peek().map(|Reverse((at, _))| (*at).max(self.now));
-        let timer = self.timers.iter().filter_map(first).min();
-        let part = self.pressure.budget_share();
-        let wanted = (0..self.budgets.len()).filter(|b| self.rings.iter().any(|ring| ring.on[*b] > 0));
-        let opens = wanted.filter_map(|b| self.budgets[b].opens(if b == 0 { part } else { 1.0 }));
+        let timer = self.timers.iter().filter_map(earliest).min();
+        let share = self.pressure.budget_share();
+        let needed = (0..self.budgets.len())
+            .filter(|b| self.round_robins.iter().any(|round_robin| round_robin.ready_per_budget[*b] > 0));
+        let opens = needed.filter_map(|b| self.budgets[b].opens_at(if b == 0 { share } else { 1.0 }));
         opens.chain(timer).min()
     }
 }
 
-/// Deepest debt of a flow, in quanta: guards against rounds without end.
-const MOST_DEBT: f64 = 62.0;
+/// Maximum debt of a flow's queue, in quanta. Bounds the number of rounds until a queue may run again.
+const MAX_DEBT_QUANTA: f64 = 62.0;
 
-impl Ring {
-    fn put(&mut self, queue: Queue, place: (Micros, JobId)) {
+impl RoundRobin {
+    /// Adds a ready job to its queue.
+    fn insert(&mut self, queue: QueueKey, place: (Micros, JobId)) {
         let jobs = self.ready.entry(queue).or_default();
         if jobs.is_empty() {
-            self.round.push_back(queue);
+            self.rotation.push_back(queue);
         }
-        self.on[queue.1] += usize::from(jobs.insert(place));
+        self.ready_per_budget[queue.1] += usize::from(jobs.insert(place));
     }
 
-    fn remove(&mut self, queue: Queue, place: (Micros, JobId)) {
+    /// Removes a ready job from its queue.
+    fn remove(&mut self, queue: QueueKey, place: (Micros, JobId)) {
         let Some(jobs) = self.ready.get_mut(&queue) else { return };
-        self.on[queue.1] -= usize::from(jobs.remove(&place));
+        self.ready_per_budget[queue.1] -= usize::from(jobs.remove(&place));
         if jobs.is_empty() {
             self.ready.remove(&queue);
-            if self.round.front() == Some(&queue) {
-                self.round.pop_front();
+            if self.rotation.front() == Some(&queue) {
+                self.rotation.pop_front();
             } else {
-                self.round.retain(|q| *q != queue);
+                self.rotation.retain(|q| *q != queue);
             }
-            // It gathers nothing while it has no jobs. What it owes stays until it has paid.
+            // A queue without jobs keeps no credit. A debt stays until it is paid off.
             if self.deficits.get(&queue).is_some_and(|left| *left >= 0.0) {
                 self.deficits.remove(&queue);
             }
         }
     }
 
-    fn charge(&mut self, queue: Queue, used: f64) {
+    /// Subtracts the budget units that a turn used from its queue's deficit.
+    fn charge(&mut self, queue: QueueKey, used: f64) {
         *self.deficits.entry(queue).or_default() -= used;
     }
 
-    /// The next job of the flow whose turn it is, among those whose budget is open.
-    fn next(&mut self, open: &[bool], quantum: f64, weights: &HashMap<FlowId, f64>) -> Option<JobId> {
-        if self.on.iter().zip(open).all(|(ready, open)| *ready == 0 || !open) {
+    /// Removes and returns the next job by deficit round robin, among the queues whose budget is open.
+    fn next_job(&mut self, open: &[bool], quantum: f64, weights: &HashMap<FlowId, f64>) -> Option<JobId> {
+        if self.ready_per_budget.iter().zip(open).all(|(ready, open)| *ready == 0 || !open) {
             return None;
         }
-        // Whoever owes nothing has something left after a round, whoever owes most after all of them.
-        let least = weights.values().copied().fold(1.0, f64::min);
-        let rounds = ((MOST_DEBT + 2.0) / least).min(1e6) as usize;
-        for _ in 0..rounds * self.round.len() {
-            let queue = *self.round.front()?;
+        // A queue without debt has a positive deficit after one round; a queue with maximum debt, after this many rounds.
+        let min_weight = weights.values().copied().fold(1.0, f64::min);
+        let rounds = ((MAX_DEBT_QUANTA + 2.0) / min_weight).min(1e6) as usize;
+        for _ in 0..rounds * self.rotation.len() {
+            let queue = *self.rotation.front()?;
             if open[queue.1] {
                 let left = self.deficits.entry(queue).or_default();
-                *left = left.max(-quantum * MOST_DEBT);
+                *left = left.max(-quantum * MAX_DEBT_QUANTA);
                 if *left > 0.0 {
                     let first = self.ready.get(&queue).and_then(|jobs| jobs.first().copied())?;
                     self.remove(queue, first);
@@ -699,8 +748,8 @@
                 }
                 *left += quantum * weights.get(&queue.0).copied().unwrap_or(1.0);
             }
-            // Its turn is over until the next round.
-            self.round.rotate_left(1);
+            // The queue has used its quantum and waits for the next round.
+            self.rotation.rotate_left(1);
         }
         None
     }
--- a/work/src/worker.rs
+++ b/work/src/worker.rs
@@ -1,6 +1,6 @@
-//! Turns on tokio, on one thread: whoever has work to do waits for a turn, does a part of it, and rests when its slice is
-//! over. Between two turns everything else that is ready runs once, and how long that takes is the lag that work gives way
-//! to.
+//! Runs turns of background work on a single-threaded tokio runtime. A task acquires a turn, does a part of its work, and
+//! yields when the time slice is used up. Between two turns every other ready task runs once; the time that this takes is
+//! the event-loop lag, to which [`crate::pressure`] adapts the budget.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -11,104 +11,115 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::{Instant, sleep_until};
 
-use crate::schedule::{Ended, Job, JobId, Refused, Schedule};
+use crate::schedule::{Job, JobId, Rejection, Schedule, TurnOutcome};
 
-/// Gives turns.
+/// Grants turns to tasks, one at a time, in the order that the [`Schedule`] decides.
 pub struct Worker {
     schedule: RefCell<Schedule>,
-    /// Those that wait for a turn.
+    /// Senders that wake the tasks whose jobs wait for a turn.
     waiting: RefCell<HashMap<JobId, oneshot::Sender<()>>>,
+    /// Origin of the times that the schedule uses.
     start: Instant,
+    /// Time after which a turn should yield.
     slice: Cell<Duration>,
-    changed: Notify,
-    ended: Notify,
-    overran: Cell<u64>,
-    longest: Cell<Duration>,
+    /// Notified when the schedule may have changed.
+    schedule_changed: Notify,
+    /// Notified when a turn ends.
+    turn_ended: Notify,
+    /// Number of turns that took more than two slices.
+    overruns: Cell<u64>,
+    /// Duration of the longest turn.
+    longest_turn: Cell<Duration>,
 }
 
-/// A turn that lasts, until it is dropped or given back.
+/// A task's hold on the turn of its job. Dropping it ends the job; [`yield_if_over`](Turn::yield_if_over) releases the turn
+/// and acquires another.
 pub struct Turn {
     worker: Rc<Worker>,
+    /// The job in the schedule that the turn belongs to.
     job: JobId,
-    began: Instant,
-    /// It has the turn now.
-    has: bool,
+    /// Start of the current turn.
+    started: Instant,
+    /// Whether the task holds the turn now, rather than waiting for it.
+    active: bool,
+    /// Whether the job is reported as failed when the turn is dropped.
     failed: bool,
 }
 
 impl Worker {
-    /// Nothing to do yet; a turn should last no longer than `slice`.
+    /// Creates a worker for `schedule` whose turns should each take no longer than `slice`.
     pub fn new(schedule: Schedule, slice: Duration) -> Rc<Worker> {
         Rc::new(Worker {
             schedule: RefCell::new(schedule),
             waiting: RefCell::default(),
             start: Instant::now(),
             slice: Cell::new(slice),
-            changed: Notify::new(),
-            ended: Notify::new(),
-            overran: Cell::new(0),
-            longest: Cell::new(Duration::ZERO),
+            schedule_changed: Notify::new(),
+            turn_ended: Notify::new(),
+            overruns: Cell::new(0),
+            longest_turn: Cell::new(Duration::ZERO),
         })
     }
 
-    /// The present time, as jobs are filed by.
+    /// The current time on the schedule's clock: microseconds since the worker was created.
     pub fn now(&self) -> Micros {
         self.start.elapsed().as_micros() as Micros
     }
 
-    /// Looks at the schedule, or changes it.
+    /// Calls `access` with the schedule and the current time, then lets the worker check for changes.
     pub fn with_schedule<T>(&self, access: impl FnOnce(&mut Schedule, Micros) -> T) -> T {
         let result = access(&mut self.schedule.borrow_mut(), self.now());
-        self.changed.notify_one();
+        self.schedule_changed.notify_one();
         result
     }
 
-    /// Turns that lasted longer than their slice, and the longest of all.
+    /// The number of turns that took more than two slices, and the duration of the longest turn.
     pub fn slice_overruns(&self) -> (u64, Duration) {
-        (self.overran.get(), self.longest.get())
+        (self.overruns.get(), self.longest_turn.get())
     }
 
-    /// Files a job and waits for its first turn. Dropped before, the job is taken back.
-    pub async fn acquire_turn(self: &Rc<Self>, job: Job) -> Result<Turn, Refused> {
-        // One that is like another would have its turn, and the other none.
+    /// Submits a job and waits for its first turn. The job is cancelled if the future is dropped before that.
+    pub async fn acquire_turn(self: &Rc<Self>, job: Job) -> Result<Turn, Rejection> {
+        // Two jobs with the same key would be merged, and only one of the two tasks would get a turn.
         let job = Job { key: None, ..job };
-        let id = self.with_schedule(|schedule, now| schedule.file(now, job))?;
+        let id = self.with_schedule(|schedule, now| schedule.submit(now, job))?;
         let mut turn =
-            Turn { worker: self.clone(), job: id, began: Instant::now(), has: false, failed: false };
-        turn.wait().await;
+            Turn { worker: self.clone(), job: id, started: Instant::now(), active: false, failed: false };
+        turn.wait_for_turn().await;
         Ok(turn)
     }
 
-    /// Gives turns; never returns.
+    /// Grants turns as the schedule allows; never returns.
     pub async fn run(self: Rc<Self>) {
         loop {
-            let lap = Instant::now();
+            let pass_start = Instant::now();
             tokio::task::yield_now().await;
-            let lag = lap.elapsed().as_micros() as Micros;
+            let lag = pass_start.elapsed().as_micros() as Micros;
             let now = self.now();
             let (next, due) = {
-                // Not by `with`, which would wake this loop again.
+                // Not through `with_schedule`, which would wake this loop again.
                 let mut schedule = self.schedule.borrow_mut();
-                schedule.pressure.lap(now, lag);
-                (schedule.next(now), schedule.due())
+                schedule.pressure.record_lag(now, lag);
+                (schedule.next_turn(now), schedule.next_due())
             };
             match (next, due) {
                 (Some(turn), _) => {
-                    let waits = self.waiting.borrow_mut().remove(&turn.job);
-                    let ended = self.ended.notified();
-                    match waits.map(|waits| waits.send(())) {
-                        Some(Ok(())) => ended.await,
-                        // Nobody wants it any more.
-                        _ => self
-                            .with_schedule(|schedule, now| schedule.ended(now, turn.job, Ended::Done, 0.0)),
+                    let waiter = self.waiting.borrow_mut().remove(&turn.job);
+                    let turn_ended = self.turn_ended.notified();
+                    match waiter.map(|waiter| waiter.send(())) {
+                        Some(Ok(())) => turn_ended.await,
+                        // The task that submitted the job no longer waits for it.
+                        _ => self.with_schedule(|schedule, now| {
+                            schedule.end_turn(now, turn.job, TurnOutcome::Done, 0.0)
+                        }),
                     }
                 }
                 (None, due) => {
-                    // A budget that opens at once has opened by the next look.
+                    // At least one microsecond ahead, so that a budget that is due to open now has opened by the next iteration.
                     let at = due.map(|at| self.start + Duration::from_micros(at.max(self.now() + 1)));
                     tokio::select! {
                         () = sleep_until(at.unwrap_or_else(Instant::now)), if at.is_some() => {}
-                        () = self.changed.notified() => {}
+                        () = self.schedule_changed.notified() => {}
                     }
                 }
             }
@@ -117,52 +128,54 @@
 }
 
 impl Turn {
-    async fn wait(&mut self) {
-        let (sender, given) = oneshot::channel();
+    async fn wait_for_turn(&mut self) {
+        let (sender, granted) = oneshot::channel();
         self.worker.waiting.borrow_mut().insert(self.job, sender);
-        self.worker.changed.notify_one();
-        // Gone only with the worker: then there is nobody to wait for.
-        let _ = given.await;
-        (self.has, self.began) = (true, Instant::now());
+        self.worker.schedule_changed.notify_one();
+        // The sender is dropped only together with the worker, when no turn will be granted.
+        let _ = granted.await;
+        (self.active, self.started) = (true, Instant::now());
     }
 
-    /// The slice is used up.
-    pub fn over(&self) -> bool {
-        self.began.elapsed() >= self.worker.slice.get()
+    /// Whether the turn has used up its time slice.
+    pub fn is_over(&self) -> bool {
+        self.started.elapsed() >= self.worker.slice.get()
     }
 
-    /// Gives the turn back where its slice is used up, and waits for the next.
+    /// If the time slice is used up, releases the turn and waits for the next one.
     pub async fn yield_if_over(&mut self) {
-        if self.over() {
-            self.give(Ended::More);
-            self.wait().await;
+        if self.is_over() {
+            self.release(TurnOutcome::Unfinished);
+            self.wait_for_turn().await;
         }
     }
 
-    /// What it was for has failed.
+    /// Ends the turn and reports the job as failed.
     pub fn failed(mut self) {
         self.failed = true;
     }
 
-    fn give(&mut self, ended: Ended) {
-        if !std::mem::take(&mut self.has) {
+    fn release(&mut self, outcome: TurnOutcome) {
+        if !std::mem::take(&mut self.active) {
             return;
         }
-        let (worker, used) = (&self.worker, self.began.elapsed());
+        let (worker, used) = (&self.worker, self.started.elapsed());
         if used > 2 * worker.slice.get() {
-            worker.overran.set(worker.overran.get() + 1);
+            worker.overruns.set(worker.overruns.get() + 1);
         }
-        worker.longest.set(worker.longest.get().max(used));
-        worker.with_schedule(|schedule, now| schedule.ended(now, self.job, ended, used.as_secs_f64() * 1e6));
-        worker.ended.notify_one();
+        worker.longest_turn.set(worker.longest_turn.get().max(used));
+        worker.with_schedule(|schedule, now| {
+            schedule.end_turn(now, self.job, outcome, used.as_secs_f64() * 1e6)
+        });
+        worker.turn_ended.notify_one();
     }
 }
 
 impl Drop for Turn {
     fn drop(&mut self) {
-        if self.has {
+        if self.active {
             let failed = self.failed || std::thread::panicking();
-            self.give(if failed { Ended::Failed } else { Ended::Done });
+            self.release(if failed { TurnOutcome::Failed } else { TurnOutcome::Done });
         } else {
             self.worker.waiting.borrow_mut().remove(&self.job);
             self.worker.with_schedule(|schedule, _| schedule.cancel(self.job));
