--- a/events/src/events.rs
+++ b/events/src/events.rs
@@ -107,7 +107,7 @@
     LINK_FAILED: WARN, "link", "link.trouble", ["why"],
         "the other process of an upgrade hangs, or words something otherwise",
         "see OPERATIONS.md";
-    LINK_PEER_BUSY: INFO, "link", "link.later", [],
+    LINK_HANDED_OVER: INFO, "link", "link.later", [],
         "a later process is met by another one",
         "nothing";
     PEER_PROCESS_CONNECTED: INFO, "link", "link.came", [],
--- a/sloeline/src/platform/operator.rs
+++ b/sloeline/src/platform/operator.rs
@@ -243,7 +243,7 @@
             // The place is the newest's: where another holds it, that came later and is the one to be followed.
             let other = mine.is_some() && Mark::of(place).is_some_and(|there| Some(there) != mine);
             if other && occupied(place).await {
-                return emit!(LINK_PEER_BUSY; "link: a later process is met from now on");
+                return emit!(LINK_HANDED_OVER; "link: a later process is met from now on");
             }
             match self.next_guest(place, &mut mine).await {
                 Ok(line) => {
