--- a/events/src/filter.rs
+++ b/events/src/filter.rs
@@ -1,4 +1,4 @@
-//! Which events are heard: levels by area, and what one who follows wants.
+//! Selects events: log levels by area, and filters for subscribers.
 
 use std::collections::BTreeMap;
 
@@ -7,17 +7,17 @@
 
 use crate::hub::Record;
 
-/// Reads a level.
+/// Parses a level in lower case: `error`, `warn`, `info`, `debug` or `trace`.
 pub fn parse_level(word: &str) -> Option<Level> {
     ["error", "warn", "info", "debug", "trace"].contains(&word).then(|| word.parse().ok()).flatten()
 }
 
-/// Levels by area.
+/// Log levels: a default, and exceptions by area.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Levels {
-    /// Of all others.
+    /// Level of areas that are not in `areas`.
     pub default_level: Level,
-    /// Of an area and those within it, `membership` for `membership.etcd` too.
+    /// Level by area. An entry also applies to nested areas: `membership` to `membership.etcd`.
     pub areas: BTreeMap<String, Level>,
 }
 
@@ -28,63 +28,63 @@
 }
 
 impl Levels {
-    /// Reads `warn`, or `info,cold=trace,membership.etcd=debug`: the level of all others, then those of areas. The error
-    /// names the part that can't be read.
+    /// Parses a comma-separated list of a default level and `AREA=LEVEL` entries, such as `info,cold=trace`. The error names the
+    /// part that is invalid.
     pub fn parse(text: &str) -> Result<Levels, String> {
         let mut levels = Levels::default();
         for part in text.split(',').map(str::trim).filter(|part| !part.is_empty()) {
             let (area, word) = part.split_once('=').map_or((None, part), |(area, word)| (Some(area), word));
-            let found = parse_level(word).ok_or_else(|| {
+            let parsed = parse_level(word).ok_or_else(|| {
                 format!("found {part:?}, expected a level (error, warn, info, debug, trace) or AREA=LEVEL")
             })?;
             match area {
-                Some(area) => _ = levels.areas.insert(area.to_owned(), found),
-                None => levels.default_level = found,
+                Some(area) => _ = levels.areas.insert(area.to_owned(), parsed),
+                None => levels.default_level = parsed,
             }
         }
         Ok(levels)
     }
 
-    /// The level of an area: of the longest name that it lies in.
-    pub fn of(&self, area: &str) -> Level {
-        let mut within = area;
+    /// The level of an area: that of the most specific entry that contains it.
+    pub fn level_of(&self, area: &str) -> Level {
+        let mut prefix = area;
         loop {
-            if let Some(level) = self.areas.get(within) {
+            if let Some(level) = self.areas.get(prefix) {
                 return *level;
             }
-            match within.rfind('.') {
-                Some(end) => within = &within[..end],
+            match prefix.rfind('.') {
+                Some(end) => prefix = &prefix[..end],
                 None => return self.default_level,
             }
         }
     }
 
-    /// Whether an event of a level in an area is heard.
-    pub fn hear(&self, area: &str, level: Level) -> bool {
-        level <= self.of(area)
+    /// Whether an event of this area and level is logged.
+    pub fn enabled(&self, area: &str, level: Level) -> bool {
+        level <= self.level_of(area)
     }
 }
 
-/// What one who follows wants to hear; all of it must be so.
+/// Filter of a subscriber. An event must satisfy every condition that is set.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct EventFilter {
-    /// This level or a graver one.
+    /// Lowest severity to include: `warn` includes `error`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub level: Option<String>,
-    /// In this area, or one within it.
+    /// Area of the event, or an area that contains it.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub area: Option<String>,
-    /// Its name begins so.
+    /// Prefix of the event's name.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub event: Option<String>,
-    /// Its text or one of its fields has this in it.
+    /// Substring of the event's text or of one of its field values.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub text: Option<String>,
 }
 
 impl EventFilter {
-    /// What is wrong with it, if anything.
+    /// Checks that `level` is a valid level; the error describes the problem.
     pub fn validate(&self) -> Result<(), String> {
         match &self.level {
             Some(word) if parse_level(word).is_none() => {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Whether that is so of an event.
+    /// Whether an event satisfies every condition that is set.
     pub fn matches(&self, record: &Record) -> bool {
         let within = |area: &str| {
             let rest = record.area.strip_prefix(area);
@@ -114,26 +114,27 @@
     use super::*;
 
     #[test]
-    fn levels_are_read_from_a_line_and_what_is_wrong_is_named() {
-        let read =
-            |text| Levels::parse(text).map(|l| (l.default_level, l.of("cold"), l.of("membership.etcd")));
+    fn levels_parse_and_errors_name_the_invalid_part() {
+        let parse = |text| {
+            Levels::parse(text).map(|l| (l.default_level, l.level_of("cold"), l.level_of("membership.etcd")))
+        };
         for (text, base, cold, etcd) in [
             ("", Level::INFO, Level::INFO, Level::INFO),
             ("warn", Level::WARN, Level::WARN, Level::WARN),
             ("cold=trace", Level::INFO, Level::TRACE, Level::INFO),
             (" error , membership=debug,cold=info,", Level::ERROR, Level::INFO, Level::DEBUG),
         ] {
-            assert_eq!(read(text), Ok((base, cold, etcd)), "{text:?}");
+            assert_eq!(parse(text), Ok((base, cold, etcd)), "{text:?}");
         }
         for (text, found) in
             [("loud", "\"loud\""), ("info,cold=", "\"cold=\""), ("cold:trace", "\"cold:trace\"")]
         {
-            assert!(read(text).is_err_and(|why| why.contains(found)), "{text:?}");
+            assert!(parse(text).is_err_and(|why| why.contains(found)), "{text:?}");
         }
     }
 
     #[test]
-    fn the_longest_area_that_one_lies_in_says_its_level() {
+    fn most_specific_area_determines_level() {
         let areas = [("membership", Level::ERROR), ("membership.etcd", Level::DEBUG)];
         let areas = areas.into_iter().map(|(area, level)| (area.to_owned(), level)).collect();
         let levels = Levels { default_level: Level::INFO, areas };
@@ -144,9 +145,9 @@
             ("members", Level::INFO),
             ("", Level::INFO),
         ] {
-            assert_eq!(levels.of(area), expected, "{area}");
+            assert_eq!(levels.level_of(area), expected, "{area}");
         }
-        assert!(levels.hear("membership", Level::ERROR) && !levels.hear("membership", Level::WARN));
+        assert!(levels.enabled("membership", Level::ERROR) && !levels.enabled("membership", Level::WARN));
         assert_eq!(
             (parse_level("warn"), parse_level("WARN"), parse_level("3")),
             (Some(Level::WARN), None, None)
--- a/events/src/hub.rs
+++ b/events/src/hub.rs
@@ -1,4 +1,4 @@
-//! Where events go: a line each on standard error, the latest of them kept, and whoever follows.
+//! Output of events: writes each as a line to standard error, keeps the latest, and forwards events to subscribers.
 
 use std::collections::VecDeque;
 use std::fmt::Debug;
@@ -15,97 +15,104 @@
 use crate::filter::{EventFilter, Levels};
 use crate::limit::{Limiter, Rate, Verdict};
 
-/// Events that are kept.
-const KEPT: usize = 512;
-/// Events that wait for one who follows.
-const WAITING: usize = 256;
-/// Those who follow at once; the first makes room.
-const MOST_TAILS: usize = 16;
-/// Longest text or field, in bytes. Guards lines against what comes from outside.
-const MOST_TEXT: usize = 2048;
+/// Number of latest events that [`Hub::recent`] can return.
+const MAX_RECENT_EVENTS: usize = 512;
+/// Capacity of a subscriber's queue, in events.
+const SUBSCRIBER_QUEUE_LEN: usize = 256;
+/// Maximum number of subscribers; a new subscriber replaces the oldest.
+const MAX_SUBSCRIBERS: usize = 16;
+/// Maximum length of a text or field value, in bytes. Limits log lines that contain input from outside.
+const MAX_TEXT_BYTES: usize = 2048;
 
-/// How lines are written.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LineFormat {
-    /// For people.
+    /// Plain text.
     #[default]
     Text,
-    /// An object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// What a configuration says of logs.
+/// Settings of the log.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// How lines are written.
+    /// Format of log lines.
     pub format: LineFormat,
-    /// What is heard.
+    /// Levels of the events that are logged.
     pub levels: Levels,
-    /// How often.
+    /// Rate limit of events.
     pub rate: Rate,
 }
 
-/// An event that was told.
+/// An emitted event with its values.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
-    /// Microseconds of Unix time.
+    /// Time of the event, in microseconds of Unix time.
     pub time: u64,
-    /// How grave.
+    /// Severity of the event.
     pub level: Level,
-    /// Where.
+    /// Area of the system that emitted the event.
     pub area: &'static str,
-    /// Its name; empty for what other libraries tell.
+    /// Name of the event; empty for events of other libraries.
     pub event: String,
-    /// In words.
+    /// Message text.
     pub text: String,
-    /// Its fields.
+    /// Names and values of the fields.
     pub fields: Vec<(&'static str, String)>,
-    /// So many like it were not told since the last.
+    /// Number of similar events suppressed since the last emitted one.
     pub dropped: u64,
 }
 
 impl Record {
-    /// As an object.
+    /// The record as a JSON object.
     pub fn json(&self) -> Value {
-        let mut of = Map::new();
-        of.insert("time".to_owned(), self.time.into());
-        of.insert("level".to_owned(), self.level.as_str().to_ascii_lowercase().into());
-        of.insert("area".to_owned(), self.area.into());
-        of.insert("event".to_owned(), self.event.as_str().into());
-        of.insert("text".to_owned(), self.text.as_str().into());
+        let mut object = Map::new();
+        object.insert("time".to_owned(), self.time.into());
+        object.insert("level".to_owned(), self.level.as_str().to_ascii_lowercase().into());
+        object.insert("area".to_owned(), self.area.into());
+        object.insert("event".to_owned(), self.event.as_str().into());
+        object.insert("text".to_owned(), self.text.as_str().into());
         for (name, value) in &self.fields {
-            of.insert((*name).to_owned(), value.as_str().into());
+            object.insert((*name).to_owned(), value.as_str().into());
         }
         if self.dropped > 0 {
-            of.insert("dropped".to_owned(), self.dropped.into());
+            object.insert("dropped".to_owned(), self.dropped.into());
         }
-        Value::Object(of)
+        Value::Object(object)
     }
 
+    /// The record as a log line, with a newline at the end.
     fn line(&self, format: LineFormat) -> String {
         match format {
             LineFormat::Json => self.json().to_string() + "\n",
-            LineFormat::Text if self.dropped > 0 => format!("{} (and {} like it)\n", self.text, self.dropped),
+            LineFormat::Text if self.dropped > 0 => {
+                format!("{} ({} similar events suppressed)\n", self.text, self.dropped)
+            }
             LineFormat::Text => format!("{}\n", self.text),
         }
     }
 }
 
-/// Reads an event's fields.
+/// Collects the fields of a `tracing` event.
 #[derive(Default)]
 struct Fields {
+    /// Name of the event, from the field `event`.
     event: String,
+    /// Message text, from the field `message`.
     text: String,
+    /// All other fields.
     rest: Vec<(&'static str, String)>,
 }
 
 impl Fields {
-    fn take(&mut self, field: &Field, mut value: String) {
-        if value.len() > MOST_TEXT {
-            let end = (0..=MOST_TEXT).rev().find(|at| value.is_char_boundary(*at)).unwrap_or(0);
+    /// Stores a field value, shortened to [`MAX_TEXT_BYTES`] and without line breaks.
+    fn store(&mut self, field: &Field, mut value: String) {
+        if value.len() > MAX_TEXT_BYTES {
+            let end = (0..=MAX_TEXT_BYTES).rev().find(|at| value.is_char_boundary(*at)).unwrap_or(0);
             value.truncate(end);
         }
-        // One event is one line, whatever is in it.
+        // Each event must be a single line.
         if value.contains(['\n', '\r']) {
             value = value.replace(['\n', '\r'], " | ");
         }
@@ -119,112 +126,132 @@
 
 impl Visit for Fields {
     fn record_str(&mut self, field: &Field, value: &str) {
-        self.take(field, value.to_owned());
+        self.store(field, value.to_owned());
     }
 
     fn record_debug(&mut self, field: &Field, value: &dyn Debug) {
-        self.take(field, format!("{value:?}"));
+        self.store(field, format!("{value:?}"));
     }
 }
 
-struct Tail {
-    wanted: EventFilter,
-    to: mpsc::Sender<Arc<Record>>,
+/// A subscriber to events.
+struct Subscription {
+    /// Events that the subscriber receives.
+    filter: EventFilter,
+    /// Queue of the subscriber.
+    sender: mpsc::Sender<Arc<Record>>,
 }
 
+/// State of a hub that changes with each event.
 #[derive(Default)]
-struct Inner {
+struct HubState {
+    /// Rate limiter of events.
     limiter: Limiter,
-    kept: VecDeque<Arc<Record>>,
-    tails: VecDeque<Tail>,
+    /// Latest events, oldest first.
+    recent: VecDeque<Arc<Record>>,
+    /// Subscribers, oldest first.
+    subscriptions: VecDeque<Subscription>,
 }
 
-/// Where events go.
+/// Receives all events and distributes them to the log, the buffer of recent events, and subscribers.
 pub struct Hub {
+    /// Settings of the log, which a reload can change.
     settings: RwLock<Settings>,
-    inner: Mutex<Inner>,
-    began: Instant,
-    out: Box<dyn Fn(&str) + Send + Sync>,
+    /// Limiter, recent events and subscribers.
+    state: Mutex<HubState>,
+    /// Origin of the limiter's times.
+    start: Instant,
+    /// Writes a log line.
+    output: Box<dyn Fn(&str) + Send + Sync>,
 }
 
+/// The hub of this process, set by [`install`].
 static HUB: OnceLock<Arc<Hub>> = OnceLock::new();
 
-/// The process's hub, once it is there.
+/// The hub of this process; none before [`install`] is called.
 pub fn hub() -> Option<&'static Arc<Hub>> {
     HUB.get()
 }
 
-/// Makes the process's hub, and makes events go there; the same one if it is there already.
+/// Creates the hub of this process and subscribes it to `tracing`. If the hub exists, only changes its settings.
 pub fn install(settings: Settings) -> Arc<Hub> {
     let hub = HUB.get_or_init(|| {
         let hub = Hub::new(settings.clone(), |line| {
-            // There is nobody to tell where it can't be written.
+            // A failure to write to standard error cannot be reported anywhere.
             let _ = std::io::stderr().lock().write_all(line.as_bytes());
         });
-        let subscriber = tracing_subscriber::registry().with(Listening(hub.clone()));
-        // Fails where another part of the process listens already; then that is who hears.
+        let subscriber = tracing_subscriber::registry().with(HubLayer(hub.clone()));
+        // Fails if the process already has a global subscriber, which then receives the events instead.
         let _ = tracing::subscriber::set_global_default(subscriber);
         hub
     });
-    hub.set(settings);
+    hub.apply_settings(settings);
     hub.clone()
 }
 
 impl Hub {
-    /// One whose lines go to a function.
-    pub fn new(settings: Settings, out: impl Fn(&str) + Send + Sync + 'static) -> Arc<Hub> {
-        let mut inner = Inner::default();
-        inner.limiter.set(settings.rate);
-        let (settings, inner) = (RwLock::new(settings), Mutex::new(inner));
-        Arc::new(Hub { settings, inner, began: Instant::now(), out: Box::new(out) })
+    /// Creates a hub that passes log lines to `output`.
+    pub fn new(settings: Settings, output: impl Fn(&str) + Send + Sync + 'static) -> Arc<Hub> {
+        let mut state = HubState::default();
+        state.limiter.set_rate(settings.rate);
+        let (settings, state) = (RwLock::new(settings), Mutex::new(state));
+        Arc::new(Hub { settings, state, start: Instant::now(), output: Box::new(output) })
     }
 
-    fn inner(&self) -> MutexGuard<'_, Inner> {
-        // What panicked while it was held was a line; the rest goes on.
-        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Locks the state.
+    fn state(&self) -> MutexGuard<'_, HubState> {
+        // The state stays usable after a panic: at most the event being handled is lost.
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Other settings from now on.
-    pub fn set(&self, settings: Settings) {
-        self.inner().limiter.set(settings.rate);
+    /// Changes the settings of the log.
+    pub fn apply_settings(&self, settings: Settings) {
+        self.state().limiter.set_rate(settings.rate);
         *self.settings.write().unwrap_or_else(PoisonError::into_inner) = settings;
         tracing::callsite::rebuild_interest_cache();
     }
 
-    fn settings<T>(&self, look: impl FnOnce(&Settings) -> T) -> T {
-        look(&self.settings.read().unwrap_or_else(PoisonError::into_inner))
+    /// Calls `read` with the current settings.
+    fn with_settings<T>(&self, read: impl FnOnce(&Settings) -> T) -> T {
+        read(&self.settings.read().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// The latest events that are wanted, the latest last, at most so many.
-    pub fn recent(&self, wanted: &EventFilter, most: usize) -> Vec<Arc<Record>> {
-        let inner = self.inner();
-        let mut found: Vec<Arc<Record>> =
-            inner.kept.iter().rev().filter(|record| wanted.matches(record)).take(most).cloned().collect();
+    /// At most `max_count` of the latest events that match `filter`, oldest first.
+    pub fn recent(&self, filter: &EventFilter, max_count: usize) -> Vec<Arc<Record>> {
+        let state = self.state();
+        let mut found: Vec<Arc<Record>> = state
+            .recent
+            .iter()
+            .rev()
+            .filter(|record| filter.matches(record))
+            .take(max_count)
+            .cloned()
+            .collect();
         found.reverse();
         found
     }
 
-    /// Follows what is wanted from now on. One who does not take what comes misses it.
-    pub fn subscribe(&self, wanted: EventFilter) -> mpsc::Receiver<Arc<Record>> {
-        let (to, from) = mpsc::channel(WAITING);
-        let mut inner = self.inner();
-        inner.tails.retain(|tail| !tail.to.is_closed());
-        if inner.tails.len() >= MOST_TAILS {
-            inner.tails.pop_front();
+    /// Subscribes to future events that match `filter`. Events are lost while the subscriber's queue is full.
+    pub fn subscribe(&self, filter: EventFilter) -> mpsc::Receiver<Arc<Record>> {
+        let (sender, receiver) = mpsc::channel(SUBSCRIBER_QUEUE_LEN);
+        let mut state = self.state();
+        state.subscriptions.retain(|subscription| !subscription.sender.is_closed());
+        if state.subscriptions.len() >= MAX_SUBSCRIBERS {
+            state.subscriptions.pop_front();
         }
-        inner.tails.push_back(Tail { wanted, to });
-        from
+        state.subscriptions.push_back(Subscription { filter, sender });
+        receiver
     }
 
-    /// Tells what was dropped and that nothing has followed.
+    /// Emits a record for each kind of suppressed event whose count has not been reported and may be reported now.
     pub fn flush_dropped(&self) {
-        let now = self.began.elapsed().as_micros() as u64;
-        let dropped = self.inner().limiter.sweep(now);
+        let now = self.start.elapsed().as_micros() as u64;
+        let dropped = self.state().limiter.take_dropped(now);
         for dropped in dropped {
-            let text = format!("{}: {} more like it were not told", dropped.event, dropped.count);
+            let text = format!("{}: {} similar events were suppressed", dropped.event, dropped.count);
             let (event, fields) = (dropped.event.to_owned(), Vec::new());
-            self.told(Record {
-                time: unix(),
+            self.deliver(Record {
+                time: unix_micros(),
                 level: Level::INFO,
                 area: "events",
                 event,
@@ -235,35 +262,40 @@
         }
     }
 
-    fn told(&self, record: Record) {
-        let line = record.line(self.settings(|s| s.format));
+    /// Writes a record to the log, keeps it, and forwards it to subscribers.
+    fn deliver(&self, record: Record) {
+        let line = record.line(self.with_settings(|s| s.format));
         let record = Arc::new(record);
-        let mut inner = self.inner();
-        if inner.kept.len() == KEPT {
-            inner.kept.pop_front();
+        let mut state = self.state();
+        if state.recent.len() == MAX_RECENT_EVENTS {
+            state.recent.pop_front();
         }
-        inner.kept.push_back(record.clone());
-        inner.tails.retain(|tail| {
-            !tail.wanted.matches(&record)
-                || !matches!(tail.to.try_send(record.clone()), Err(mpsc::error::TrySendError::Closed(_)))
+        state.recent.push_back(record.clone());
+        state.subscriptions.retain(|subscription| {
+            !subscription.filter.matches(&record)
+                || !matches!(
+                    subscription.sender.try_send(record.clone()),
+                    Err(mpsc::error::TrySendError::Closed(_))
+                )
         });
-        drop(inner);
-        (self.out)(&line);
+        drop(state);
+        (self.output)(&line);
     }
 
-    fn event(&self, event: &Event<'_>) {
+    /// Handles a `tracing` event: applies the rate limit and delivers the event if it is emitted.
+    fn handle_event(&self, event: &Event<'_>) {
         let mut fields = Fields::default();
         event.record(&mut fields);
         let known = crate::events::ALL.iter().find(|known| known.name == fields.event);
-        // What other libraries tell is limited by where it comes from.
+        // Events of other libraries are rate-limited by their target.
         let name = known.map_or(event.metadata().target(), |known| known.name);
-        let about = fields.rest.first().map_or("", |(_, value)| value.as_str());
-        let now = self.began.elapsed().as_micros() as u64;
+        let subject = fields.rest.first().map_or("", |(_, value)| value.as_str());
+        let now = self.start.elapsed().as_micros() as u64;
         let limited = known.is_none_or(|known| known.limited());
-        let verdict = if limited { self.inner().limiter.admit(now, name, about) } else { Verdict::Tell(0) };
-        let Verdict::Tell(dropped) = verdict else { return };
-        self.told(Record {
-            time: unix(),
+        let verdict = if limited { self.state().limiter.admit(now, name, subject) } else { Verdict::Emit(0) };
+        let Verdict::Emit(dropped) = verdict else { return };
+        self.deliver(Record {
+            time: unix_micros(),
             level: *event.metadata().level(),
             area: event.metadata().target(),
             event: fields.event,
@@ -274,20 +306,21 @@
     }
 }
 
-fn unix() -> u64 {
+/// Current Unix time in microseconds.
+fn unix_micros() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
 }
 
-/// A hub as a layer of `tracing`.
-pub struct Listening(pub Arc<Hub>);
+/// Layer that passes `tracing` events to a hub.
+pub struct HubLayer(pub Arc<Hub>);
 
-impl<S: Subscriber> Layer<S> for Listening {
+impl<S: Subscriber> Layer<S> for HubLayer {
     fn enabled(&self, metadata: &Metadata<'_>, _: Context<'_, S>) -> bool {
-        self.0.settings(|settings| settings.levels.hear(metadata.target(), *metadata.level()))
+        self.0.with_settings(|settings| settings.levels.enabled(metadata.target(), *metadata.level()))
     }
 
     fn on_event(&self, event: &Event<'_>, _: Context<'_, S>) {
-        self.0.event(event);
+        self.0.handle_event(event);
     }
 }
 
@@ -296,75 +329,79 @@
     use super::*;
     use crate::emit;
 
-    fn listened(settings: Settings, told: impl FnOnce(&Hub)) -> Vec<String> {
+    /// Runs `emit_events` with a hub as subscriber and returns the log lines.
+    fn log_lines(settings: Settings, emit_events: impl FnOnce(&Hub)) -> Vec<String> {
         let lines = Arc::new(Mutex::new(Vec::new()));
-        let into = lines.clone();
-        let hub = Hub::new(settings, move |line: &str| into.lock().expect("whole").push(line.to_owned()));
-        let subscriber = tracing_subscriber::registry().with(Listening(hub.clone()));
-        tracing::subscriber::with_default(subscriber, || told(&hub));
-        std::mem::take(&mut *lines.lock().expect("whole"))
+        let output = lines.clone();
+        let hub =
+            Hub::new(settings, move |line: &str| output.lock().expect("not poisoned").push(line.to_owned()));
+        let subscriber = tracing_subscriber::registry().with(HubLayer(hub.clone()));
+        tracing::subscriber::with_default(subscriber, || emit_events(&hub));
+        std::mem::take(&mut *lines.lock().expect("not poisoned"))
     }
 
     #[test]
-    fn events_are_lines_and_objects_and_reach_those_who_follow() {
-        let tell = |_: &Hub| {
+    fn events_are_logged_as_text_and_json_and_reach_subscribers() {
+        let emit_two = |_: &Hub| {
             emit!(ORDER_GIVEN, who = %"anna", thing = %"n7"; "ordered: {} out in p", "n7\nx");
             emit!(CONFIG_RELOADED; "configuration read again");
         };
         assert_eq!(
-            listened(Settings::default(), tell),
+            log_lines(Settings::default(), emit_two),
             ["ordered: n7 | x out in p\n", "configuration read again\n"]
         );
-        let json = listened(Settings { format: LineFormat::Json, ..Settings::default() }, tell);
+        let json = log_lines(Settings { format: LineFormat::Json, ..Settings::default() }, emit_two);
         let first: Value = serde_json::from_str(&json[0]).expect("JSON");
         let fields =
             ["level", "area", "event", "who", "thing"].map(|name| first[name].as_str().unwrap_or(""));
         assert_eq!(fields, ["info", "orders", "order.given", "anna", "n7"]);
-        let lines = listened(Settings::default(), |hub| {
-            let wanted = EventFilter { event: Some("order.".to_owned()), ..EventFilter::default() };
-            let mut follows = hub.subscribe(wanted.clone());
-            tell(hub);
-            assert_eq!(follows.try_recv().expect("it is told").event, "order.given");
-            assert!(follows.try_recv().is_err(), "the other is not wanted");
-            assert_eq!(hub.recent(&wanted, 10).len(), 1);
+        let lines = log_lines(Settings::default(), |hub| {
+            let filter = EventFilter { event: Some("order.".to_owned()), ..EventFilter::default() };
+            let mut subscriber = hub.subscribe(filter.clone());
+            emit_two(hub);
+            assert_eq!(subscriber.try_recv().expect("the matching event is forwarded").event, "order.given");
+            assert!(subscriber.try_recv().is_err(), "the other event does not match the filter");
+            assert_eq!(hub.recent(&filter, 10).len(), 1);
             assert_eq!(hub.recent(&EventFilter::default(), 1)[0].event, "config.read");
-            for wanted in [
+            for filter in [
                 EventFilter { level: Some("warn".to_owned()), ..EventFilter::default() },
                 EventFilter { area: Some("order".to_owned()), ..EventFilter::default() },
                 EventFilter { text: Some("n8".to_owned()), ..EventFilter::default() },
             ] {
-                assert!(hub.recent(&wanted, 10).is_empty(), "{wanted:?}");
+                assert!(hub.recent(&filter, 10).is_empty(), "{filter:?}");
             }
             assert!(
                 EventFilter { level: Some("loud".to_owned()), ..EventFilter::default() }.validate().is_err()
             );
-            // Nobody is waited for: whoever takes nothing misses what comes, and a thousand who follow are sixteen.
-            let followers: Vec<_> = (0..1000).map(|_| hub.subscribe(EventFilter::default())).collect();
-            for n in 0..2 * WAITING {
+            // A subscriber that reads nothing does not block others; it loses events once its queue is full. Of 1000 subscribers,
+            // the last 16 stay subscribed.
+            let subscribers: Vec<_> = (0..1000).map(|_| hub.subscribe(EventFilter::default())).collect();
+            for n in 0..2 * SUBSCRIBER_QUEUE_LEN {
                 emit!(ORDER_GIVEN, who = %n, thing = %n; "ordered: {n}");
             }
-            let open = followers.iter().filter(|follower| follower.len() == WAITING).count();
-            assert_eq!(open, MOST_TAILS);
+            let open =
+                subscribers.iter().filter(|subscriber| subscriber.len() == SUBSCRIBER_QUEUE_LEN).count();
+            assert_eq!(open, MAX_SUBSCRIBERS);
         });
-        assert_eq!(lines.len(), 2 + 2 * WAITING);
+        assert_eq!(lines.len(), 2 + 2 * SUBSCRIBER_QUEUE_LEN);
     }
 
     #[test]
-    fn levels_and_rates_hold_and_change_while_it_runs() {
+    fn levels_and_rates_apply_and_can_change_at_runtime() {
         let rate = Rate { burst: 3.0, per_second: 0.001 };
         let quiet = Settings {
             levels: Levels { default_level: Level::ERROR, ..Levels::default() },
             ..Settings::default()
         };
-        let lines = listened(Settings { rate, ..Settings::default() }, |hub| {
+        let lines = log_lines(Settings { rate, ..Settings::default() }, |hub| {
             for _ in 0..10 {
                 emit!(DISCOVERY_ADDRESS_INVALID, node = %"n7"; "out");
             }
-            // What operators do is told each time.
+            // Events about operators' actions are not rate-limited.
             (0..5).for_each(|_| emit!(CONFIG_RELOADED; "read"));
             emit!(DISCOVERY_ADDRESS_INVALID, node = %"n8"; "another");
-            hub.set(quiet.clone());
-            emit!(DISCOVERY_ADDRESS_INVALID, node = %"n9"; "not heard");
+            hub.apply_settings(quiet.clone());
+            emit!(DISCOVERY_ADDRESS_INVALID, node = %"n9"; "disabled by its level");
             emit!(DEFECT, what = %"x"; "defect: x");
         });
         assert_eq!(
--- a/events/src/lib.rs
+++ b/events/src/lib.rs
@@ -1,6 +1,7 @@
-//! Events of note. Each has a name, a level, an area and typed fields, all in one table ([`events`]), from which the
-//! operators' reference is made; [`emit!`] tells one through `tracing`. How often one is told is decided in [`limit`], who
-//! hears it in [`filter`]; [`hub`] writes lines, keeps the latest and passes them on to those who follow.
+//! Structured log events. The table in [`events`] gives each event a name, a level, an area and fields; the operators'
+//! reference is generated from it. [`emit!`] emits an event through `tracing`. [`limit`] limits the rate of each event,
+//! [`filter`] selects events by level and content, and [`hub`] writes log lines, keeps the latest events and forwards events
+//! to subscribers.
 
 pub mod events;
 pub mod filter;
@@ -10,8 +11,8 @@
 #[doc(hidden)]
 pub use tracing;
 
-/// Tells an event: `emit!(ORDER_GIVEN, who = %who, thing = %thing; "ordered by {who}: {thing}")`. The first field is what it
-/// is limited by. Where nothing listens (a library in a test, the emulator) the text goes to standard error.
+/// Emits an event: `emit!(ORDER_GIVEN, who = %who, thing = %thing; "ordered by {who}: {thing}")`. The event is rate-limited
+/// per value of the first field. Without a `tracing` subscriber (in tests or the emulator) the text goes to standard error.
 #[macro_export]
 macro_rules! emit {
     ($event:ident $(, $field:ident = %$value:expr)* ; $($message:tt)+) => {
@@ -23,7 +24,7 @@
     };
 }
 
-/// Whether somebody hears an event, as far as its level and area tell: for what is costly to find out.
+/// Whether an event is enabled for its area and level. Guards code that computes expensive fields.
 #[macro_export]
 macro_rules! event_enabled {
     ($event:ident) => {
@@ -31,7 +32,7 @@
     };
 }
 
-/// The same where something listens, and nothing elsewhere: for what a library tells often, or of everybody.
+/// Emits an event like [`emit!`], but prints nothing if there is no `tracing` subscriber. For events that libraries emit often.
 #[macro_export]
 macro_rules! emit_if_subscribed {
     ($event:ident $(, $field:ident = %$value:expr)* ; $($message:tt)+) => {
--- a/events/src/limit.rs
+++ b/events/src/limit.rs
@@ -1,21 +1,21 @@
-//! How often an event is told: so many at once and so many a second for each event and what it is about, the rest counted.
-//! No I/O; the time is an argument, in microseconds.
+//! Limits the rate of log events with a token bucket for each event and subject, the value of the event's first field.
+//! Suppressed events are counted. No I/O; the time is passed as an argument, in microseconds.
 //!
-//! What events are about comes from outside (names of nodes, say) and may be anything: so many are told apart, and the rest
-//! of each event share one count.
+//! Subjects come from outside (names of nodes, for example) and their number is unbounded. At most [`MAX_BUCKETS`] pairs of
+//! event and subject have a bucket of their own; the remaining subjects of each event share one bucket.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// What is told apart at once.
-pub const MOST_KEYS: usize = 1024;
+/// Maximum number of pairs of event and subject that have a bucket of their own.
+pub const MAX_BUCKETS: usize = 1024;
 
-/// How much is told.
+/// Rate limit of each event and subject.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rate {
-    /// At once.
+    /// Number of events that may be emitted at once.
     pub burst: f64,
-    /// A second.
+    /// Number of events per second in the long run.
     pub per_second: f64,
 }
 
@@ -25,104 +25,113 @@
     }
 }
 
-/// Whether an event is told.
+/// Decision of the limiter about an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is, and so many like it were not since the last.
-    Tell(u64),
-    /// It is counted.
-    Drop,
+    /// The event is emitted. Holds the number of similar events suppressed since the last emitted one.
+    Emit(u64),
+    /// The event is suppressed and counted.
+    Suppress,
 }
 
+/// Token bucket of one event and subject.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
-    left: f64,
-    at: u64,
+    /// Events that may be emitted now.
+    tokens: f64,
+    /// Time up to which the bucket has been refilled, in microseconds.
+    refilled_at: u64,
+    /// Events suppressed and not reported yet.
     dropped: u64,
 }
 
-/// Events that were not told.
+/// Count of suppressed events, to be reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Dropped {
-    /// Which.
+    /// Name of the suppressed events.
     pub event: &'static str,
-    /// How many.
+    /// Number of events suppressed since the last report.
     pub count: u64,
 }
 
-/// Decides what is told.
+/// Decides which events are emitted and counts the others.
 #[derive(Debug, Default)]
 pub struct Limiter {
+    /// Rate limit of each bucket.
     rate: Rate,
-    /// By event and a hash of what it is about; none for all that there was no place for.
+    /// Buckets by event and hash of the subject; the hash is none for the shared bucket of an event.
     buckets: HashMap<(&'static str, Option<u64>), Bucket>,
-    swept: u64,
+    /// Time of the last removal of idle buckets, in microseconds.
+    last_eviction: u64,
 }
 
 impl Limiter {
-    /// Other rates from now on.
-    pub fn set(&mut self, rate: Rate) {
+    /// Changes the rate limit of all buckets.
+    pub fn set_rate(&mut self, rate: Rate) {
         self.rate = rate;
     }
 
-    /// Whether an event about something is told.
-    pub fn admit(&mut self, now: u64, event: &'static str, about: &str) -> Verdict {
+    /// Decides whether an event about `subject` is emitted now.
+    pub fn admit(&mut self, now: u64, event: &'static str, subject: &str) -> Verdict {
         let mut hasher = DefaultHasher::new();
-        about.hash(&mut hasher);
+        subject.hash(&mut hasher);
         let key = (event, Some(hasher.finish()));
-        if !self.buckets.contains_key(&key) && self.buckets.len() >= MOST_KEYS {
-            self.rest(now);
+        if !self.buckets.contains_key(&key) && self.buckets.len() >= MAX_BUCKETS {
+            self.evict_idle(now);
         }
-        let room = self.buckets.contains_key(&key) || self.buckets.len() < MOST_KEYS;
-        let key = if room { key } else { (event, None) };
+        let has_room = self.buckets.contains_key(&key) || self.buckets.len() < MAX_BUCKETS;
+        let key = if has_room { key } else { (event, None) };
         let rate = self.rate;
-        let bucket = self.buckets.entry(key).or_insert(Bucket { left: rate.burst, at: now, dropped: 0 });
-        bucket.fill(now, rate);
-        if bucket.left >= 1.0 {
-            bucket.left -= 1.0;
-            Verdict::Tell(std::mem::take(&mut bucket.dropped))
+        let bucket =
+            self.buckets.entry(key).or_insert(Bucket { tokens: rate.burst, refilled_at: now, dropped: 0 });
+        bucket.refill(now, rate);
+        if bucket.tokens >= 1.0 {
+            bucket.tokens -= 1.0;
+            Verdict::Emit(std::mem::take(&mut bucket.dropped))
         } else {
             bucket.dropped += 1;
-            Verdict::Drop
+            Verdict::Suppress
         }
     }
 
-    /// Forgets what has long been quiet and owes nothing, at most once for each refill.
-    fn rest(&mut self, now: u64) {
+    /// Removes buckets that are full and have nothing to report; at most once per time in which one token is refilled.
+    fn evict_idle(&mut self, now: u64) {
         let rate = self.rate;
-        let refill = (1e6 / rate.per_second.max(1e-3)) as u64;
-        if now.saturating_sub(self.swept) < refill {
+        let refill_interval = (1e6 / rate.per_second.max(1e-3)) as u64;
+        if now.saturating_sub(self.last_eviction) < refill_interval {
             return;
         }
-        self.swept = now;
+        self.last_eviction = now;
         self.buckets.retain(|_, bucket| {
-            bucket.fill(now, rate);
-            bucket.dropped > 0 || bucket.left < rate.burst
+            bucket.refill(now, rate);
+            bucket.dropped > 0 || bucket.tokens < rate.burst
         });
     }
 
-    /// What was dropped, is not told yet, and may be told now: the last of a burst that nothing follows.
-    pub fn sweep(&mut self, now: u64) -> Vec<Dropped> {
+    /// Returns the counts of suppressed events that may be reported now. Without this, the events suppressed at the end of a
+    /// burst would be reported only with the next similar event.
+    pub fn take_dropped(&mut self, now: u64) -> Vec<Dropped> {
         let rate = self.rate;
-        let mut told = Vec::new();
+        let mut reports = Vec::new();
         for ((event, _), bucket) in &mut self.buckets {
-            bucket.fill(now, rate);
-            if bucket.dropped > 0 && bucket.left >= 1.0 {
-                bucket.left -= 1.0;
-                told.push(Dropped { event, count: std::mem::take(&mut bucket.dropped) });
+            bucket.refill(now, rate);
+            if bucket.dropped > 0 && bucket.tokens >= 1.0 {
+                bucket.tokens -= 1.0;
+                reports.push(Dropped { event, count: std::mem::take(&mut bucket.dropped) });
             }
         }
-        told.sort_by_key(|dropped| dropped.event);
-        told
+        reports.sort_by_key(|dropped| dropped.event);
+        reports
     }
 }
 
 impl Bucket {
-    fn fill(&mut self, now: u64, rate: Rate) {
-        // A clock that goes back brings nothing.
-        let span = now.saturating_sub(self.at) as f64 / 1e6;
-        self.left = (self.left + span * rate.per_second).min(rate.burst.max(1.0));
-        self.at = self.at.max(now);
+    /// Adds the tokens for the time since the last refill, up to the burst.
+    fn refill(&mut self, now: u64, rate: Rate) {
+        // A clock that goes backwards adds no tokens.
+        let elapsed_s = now.saturating_sub(self.refilled_at) as f64 / 1e6;
+        self.tokens = (self.tokens + elapsed_s * rate.per_second).min(rate.burst.max(1.0));
+        self.refilled_at = self.refilled_at.max(now);
     }
 }
 
@@ -131,46 +140,48 @@
     use super::*;
 
     #[test]
-    fn each_thing_has_its_own_measure_and_every_event_is_told_or_counted() {
+    fn each_subject_has_its_own_limit_and_every_event_is_emitted_or_counted() {
         let seed =
             std::env::var("SEED").ok().and_then(|s| s.parse().ok()).unwrap_or_else(|| fastrand::u64(..));
         println!("SEED={seed}");
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut limiter = Limiter::default();
-        limiter.set(Rate { burst: 5.0, per_second: 2.0 });
-        let (mut now, mut told, mut counted, mut events) = (0, HashMap::<String, u64>::new(), 0, 0);
+        limiter.set_rate(Rate { burst: 5.0, per_second: 2.0 });
+        let (mut now, mut emitted, mut counted, mut events) = (0, HashMap::<String, u64>::new(), 0, 0);
         for _ in 0..20_000 {
             now += rng.u64(0..2_000);
-            let about = format!("n{}", rng.u32(0..3));
+            let subject = format!("n{}", rng.u32(0..3));
             events += 1;
-            if let Verdict::Tell(dropped) = limiter.admit(now, "e", &about) {
-                *told.entry(about).or_default() += 1;
+            if let Verdict::Emit(dropped) = limiter.admit(now, "e", &subject) {
+                *emitted.entry(subject).or_default() += 1;
                 counted += 1 + dropped;
             }
         }
-        let most = 5.0 + 2.0 * now as f64 / 1e6;
+        let max_emitted = 5.0 + 2.0 * now as f64 / 1e6;
         assert!(
-            told.values().all(|told| (*told as f64) <= most + 1.0 && *told as f64 >= most - 2.0),
-            "{told:?}"
+            emitted
+                .values()
+                .all(|count| (*count as f64) <= max_emitted + 1.0 && *count as f64 >= max_emitted - 2.0),
+            "{emitted:?}"
         );
-        // What nothing follows is told when it may be.
-        let rest: u64 = limiter.sweep(now + 10_000_000).iter().map(|dropped| dropped.count).sum();
+        // Counts that no later event reports are returned as soon as the rate allows.
+        let rest: u64 = limiter.take_dropped(now + 10_000_000).iter().map(|dropped| dropped.count).sum();
         assert_eq!(counted + rest, events);
-        assert_eq!(limiter.sweep(now + 10_000_000), []);
+        assert_eq!(limiter.take_dropped(now + 10_000_000), []);
     }
 
     #[test]
-    fn names_from_outside_take_up_no_more_than_there_is_room_for() {
+    fn number_of_buckets_is_bounded() {
         let mut limiter = Limiter::default();
-        let told = |verdict| matches!(verdict, Verdict::Tell(_));
-        for n in 0..10 * MOST_KEYS {
+        let is_emitted = |verdict| matches!(verdict, Verdict::Emit(_));
+        for n in 0..10 * MAX_BUCKETS {
             limiter.admit(0, "flood", &n.to_string());
         }
-        assert!(limiter.buckets.len() <= MOST_KEYS + 1);
-        // Another event is told all the same, if it is not as many itself.
-        assert!(told(limiter.admit(0, "other", "n")));
-        // Later there is room again: what is quiet and owes nothing is forgotten.
-        assert!(told(limiter.admit(60_000_000, "late", "n")));
+        assert!(limiter.buckets.len() <= MAX_BUCKETS + 1);
+        // Another event still uses the shared bucket of its own name.
+        assert!(is_emitted(limiter.admit(0, "other", "n")));
+        // Idle buckets with nothing to report are removed later, which makes room.
+        assert!(is_emitted(limiter.admit(60_000_000, "late", "n")));
         assert!(limiter.buckets.len() < 10, "{}", limiter.buckets.len());
     }
 }
--- a/sloeline/src/daemon.rs
+++ b/sloeline/src/daemon.rs
@@ -396,7 +396,7 @@
         self.operations = operations;
         self.since = Instant::now();
         if let Some(hub) = hub() {
-            hub.set(control::logs(&self.config.log));
+            hub.apply_settings(control::logs(&self.config.log));
         }
         self.fleet_keys();
         self.announce();
