--- a/work/src/schedule.rs
+++ b/work/src/schedule.rs
@@ -129,7 +129,7 @@
     }
 }
 
-/// Why a job was not accepted. The variant is printed in error messages by `{:?}`, so variant and field names are stable.
+/// Why a job was not accepted. Variant and field names are stable, because error messages print them with `{:?}`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
     /// All places available to the job's priority are taken.
@@ -177,7 +177,9 @@
 /// A submitted job and its scheduling state.
 #[derive(Debug)]
 struct Entry {
+    /// The job as submitted; merged submissions and periodic runs change its deadline.
     job: Job,
+    /// Current state of the job.
     state: State,
     /// Effective priority: at least that of each job that depends on this one.
     priority: Priority,
@@ -498,7 +500,7 @@
 
     /// Handles the expiry of a job's timer.
     fn wake_job(&mut self, id: JobId) {
-        // A job that was merged with an earlier submission has two timers; the later timer finds it no longer waiting.
+        // A job that a merged submission moved to an earlier time has two timers; the later timer finds it no longer waiting.
         let due = |entry: &&Entry| {
             entry.state == State::Waiting && entry.pending_dependencies == 0 && entry.due <= self.now
         };
--- a/work/src/worker.rs
+++ b/work/src/worker.rs
@@ -15,6 +15,7 @@
 
 /// Grants turns to tasks, one at a time, in the order that the [`Schedule`] decides.
 pub struct Worker {
+    /// Jobs of the tasks, and the rules by which they get turns.
     schedule: RefCell<Schedule>,
     /// Senders that wake the tasks whose jobs wait for a turn.
     waiting: RefCell<HashMap<JobId, oneshot::Sender<()>>>,
@@ -35,6 +36,7 @@
 /// A task's hold on the turn of its job. Dropping it ends the job; [`yield_if_over`](Turn::yield_if_over) releases the turn
 /// and acquires another.
 pub struct Turn {
+    /// Worker that granted the turn.
     worker: Rc<Worker>,
     /// The job in the schedule that the turn belongs to.
     job: JobId,
@@ -128,6 +130,7 @@
 }
 
 impl Turn {
+    /// Waits until the worker grants the job's next turn.
     async fn wait_for_turn(&mut self) {
         let (sender, granted) = oneshot::channel();
         self.worker.waiting.borrow_mut().insert(self.job, sender);
@@ -155,6 +158,8 @@
         self.failed = true;
     }
 
+    /// Ends the current turn with `outcome`, charges its duration to the budget, and wakes the worker. Does nothing if the task
+    /// does not hold a turn.
     fn release(&mut self, outcome: TurnOutcome) {
         if !std::mem::take(&mut self.active) {
             return;
--- a/work/tests/schedule.rs
+++ b/work/tests/schedule.rs
@@ -9,7 +9,9 @@
     TurnOutcome,
 };
 
+/// Microseconds in a millisecond.
 const MS: u64 = 1_000;
+/// Microseconds in a second.
 const SECOND: u64 = 1_000_000;
 
 /// Seed of the random test: the environment variable `SEED`, or a random number. Prints it for reproduction.
@@ -22,6 +24,7 @@
 /// A job that has not ended, in the reference model.
 #[derive(Clone, Debug)]
 struct ModelJob {
+    /// The job as submitted, with the priority raised by dependent jobs and the deadline of merged submissions.
     job: Job,
     /// Earliest start as far as the model knows it; the schedule draws the delay before a retry.
     due: u64,
@@ -51,8 +54,8 @@
             Budget::new(200_000.0, 20_000.0),
             Budget::new(if rng.bool() { 0.0 } else { 50_000.0 }, if rng.bool() { 0.0 } else { 5_000.0 }),
         ];
-        let most = rng.usize(16..64);
-        let mut schedule = Schedule::new(most, budgets, rng.u64(..));
+        let capacity = rng.usize(16..64);
+        let mut schedule = Schedule::new(capacity, budgets, rng.u64(..));
         let mut model: BTreeMap<JobId, ModelJob> = BTreeMap::new();
         let mut now = SECOND;
         for _ in 0..200 {
@@ -101,7 +104,11 @@
                     }
                     (Err(why), _) => {
                         refused += 1;
-                        let places = if job.priority == Priority::Critical { most } else { most - most / 8 };
+                        let places = if job.priority == Priority::Critical {
+                            capacity
+                        } else {
+                            capacity - capacity / 8
+                        };
                         assert_eq!(why, Rejection::Full { most: places });
                         assert!(
                             model.len() >= places && existing.is_none(),
@@ -174,7 +181,7 @@
                 }
             }
             assert_eq!(schedule.len(), model.len(), "history {history}");
-            assert!(schedule.len() <= most);
+            assert!(schedule.len() <= capacity);
         }
     }
     println!(
--- a/work/tests/worker.rs
+++ b/work/tests/worker.rs
@@ -10,6 +10,7 @@
 use tokio::task::{LocalSet, spawn_local, yield_now};
 use tokio::time::{advance, timeout};
 
+/// Time slice of the worker under test.
 const SLICE: Duration = Duration::from_millis(2);
 
 /// Runs `test` with a worker that uses `budget` and has `capacity` places, on a paused clock with a time limit of 600 s.
