--- a/config/src/check.rs
+++ b/config/src/check.rs
@@ -9,7 +9,7 @@
 use sloeline_routing::split::TOTAL_WEIGHT;
 use sloeline_routing::target::Path;
 
-use crate::model::{Config, RouteTo};
+use crate::model::{Config, RouteConfig};
 use crate::problem::Problems;
 
 /// Methods that change nothing by their definition (RFC 9110 section 9.2.1).
@@ -23,26 +23,26 @@
 
 /// How descriptors and memory are divided.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Division {
+pub struct ResourceDivision {
     /// Connections of callers, for each listener.
-    pub listeners: Vec<usize>,
+    pub caller_connections: Vec<usize>,
     /// Connections to upstreams: each pool's own, and the common reserve.
-    pub upstreams: (Vec<usize>, usize),
+    pub upstream_connections: (Vec<usize>, usize),
     /// Open requests, the same.
-    pub open: (Vec<usize>, usize),
+    pub open_requests: (Vec<usize>, usize),
     /// Bytes of bodies and answers, the same.
-    pub bodies: (Vec<usize>, usize),
+    pub body_bytes: (Vec<usize>, usize),
 }
 
 /// Divides what the process may take up; the error says what is short.
-pub fn division(config: &Config) -> Result<Division, String> {
+pub fn divide_resources(config: &Config) -> Result<ResourceDivision, String> {
     let limits = &config.limits;
     // Registries and watched files have a few each.
     let reserved = RESERVED + config.listeners.len() + 2 * config.pools.len().min(limits.descriptors / 8);
     let free = limits.descriptors.saturating_sub(reserved);
     let callers = (free as f64 * CALLERS) as usize;
-    let fixed: usize = config.listeners.values().filter_map(|l| l.connections).sum();
-    let open_ended = config.listeners.values().filter(|l| l.connections.is_none()).count();
+    let fixed: usize = config.listeners.values().filter_map(|l| l.max_connections).sum();
+    let open_ended = config.listeners.values().filter(|l| l.max_connections.is_none()).count();
     let each = callers.saturating_sub(fixed).checked_div(open_ended).unwrap_or(0);
     if fixed > callers || open_ended > 0 && each == 0 {
         return Err(format!(
@@ -50,18 +50,19 @@
             config.listeners.len()
         ));
     }
-    let listeners: Vec<usize> = config.listeners.values().map(|l| l.connections.unwrap_or(each)).collect();
+    let listeners: Vec<usize> =
+        config.listeners.values().map(|l| l.max_connections.unwrap_or(each)).collect();
     let weights: Vec<f64> = config.pools.values().map(|p| p.weight).collect();
     let share = |whole: usize, what: &str, least: usize| {
         divide(whole, &weights, least)
             .map_err(|needed| format!("{whole} {what} for pools that need {needed}"))
     };
     let taken = listeners.iter().sum();
-    Ok(Division {
-        upstreams: share(free - callers, "connections to upstreams", 1)?,
-        open: share(taken, "open requests", 1)?,
-        bodies: share((limits.memory as f64 * BODIES) as usize, "bytes for bodies", 0)?,
-        listeners,
+    Ok(ResourceDivision {
+        upstream_connections: share(free - callers, "connections to upstreams", 1)?,
+        open_requests: share(taken, "open requests", 1)?,
+        body_bytes: share((limits.memory as f64 * BODIES) as usize, "bytes for bodies", 0)?,
+        caller_connections: listeners,
     })
 }
 
@@ -69,7 +70,7 @@
 pub fn check(config: &Config, problems: &Problems<'_>) {
     addresses(config, problems);
     for (name, class) in &config.classes {
-        let asserted = class.assert.iter().any(|a| a == "deadline-under-aim");
+        let asserted = class.assertions.iter().any(|a| a == "deadline-under-aim");
         if class.class.deadline < class.class.latency_target && !asserted {
             let (found, expected) = (span(class.class.deadline), span(class.class.latency_target));
             let expected = format!("at least the aim, {expected}");
@@ -81,8 +82,9 @@
                 "deadline-under-aim",
             );
         }
-        let given =
-            |r: &RouteTo| r.classes.contains(name) || r.operation.as_ref().is_some_and(|o| o.narrow == *name);
+        let given = |r: &RouteConfig| {
+            r.classes.contains(name) || r.operation.as_ref().is_some_and(|o| o.restricted_class == *name)
+        };
         if !config.routes.iter().any(given) {
             problems.warn(&class.span, &format!("class.{name}"), "no route that gives it", "one");
         }
@@ -92,7 +94,7 @@
             problems.warn(&pool.span, &format!("pool.{name}"), "no route that leads to it", "one");
         }
     }
-    let mut names: BTreeMap<&str, &RouteTo> = BTreeMap::new();
+    let mut names: BTreeMap<&str, &RouteConfig> = BTreeMap::new();
     for route in &config.routes {
         one_route(config, route, problems);
         if let Some(before) = names.insert(&route.route.name, route) {
@@ -101,14 +103,14 @@
         }
     }
     for (name, listener) in &config.listeners {
-        let on: Vec<&RouteTo> = config.routes.iter().filter(|r| r.listeners.contains(name)).collect();
+        let on: Vec<&RouteConfig> = config.routes.iter().filter(|r| r.listeners.contains(name)).collect();
         if on.is_empty() {
             problems.add(&listener.span, &format!("listener.{name}"), "no route", "at least one");
         }
         contradictions(&on, problems);
         reserved(name, &listener.ready_path, &on, problems);
     }
-    match division(config) {
+    match divide_resources(config) {
         Err(found) => {
             let expected = "larger limits, or fewer listeners and pools";
             problems.add(&config.limits.span, "limits", found, expected);
@@ -136,10 +138,10 @@
     }
 }
 
-fn one_route(config: &Config, route: &RouteTo, problems: &Problems<'_>) {
+fn one_route(config: &Config, route: &RouteConfig, problems: &Problems<'_>) {
     let name = &route.route.name;
     let key = |key: &str| format!("route {name:?}: {key}");
-    let asserted = |what: &str| route.assert.iter().any(|a| a == what);
+    let asserted = |what: &str| route.assertions.iter().any(|a| a == what);
     for class_name in &route.classes {
         let Some(named) = config.classes.get(class_name) else { continue };
         let class = &named.class;
@@ -158,7 +160,7 @@
                 let expected = "where the key stands, such as \"header:Idempotency-Key\"";
                 problems.add(&route.span, &key("key"), found, expected);
             }
-            (Effect::Keyed { .. }, Some(crate::model::Source::Fixed(value))) => {
+            (Effect::Keyed { .. }, Some(crate::model::ValueSource::Fixed(value))) => {
                 let found = format!("the same key {value:?} for all requests");
                 problems.add(&route.span, &key("key"), found, "a key that differs from request to request");
             }
@@ -183,10 +185,10 @@
 }
 
 /// What routes of one listener say against each other.
-fn contradictions(on: &[&RouteTo], problems: &Problems<'_>) {
+fn contradictions(on: &[&RouteConfig], problems: &Problems<'_>) {
     let routes: Vec<Route> = on.iter().map(|r| r.route.clone()).collect();
     let name = |at: usize| format!("{:?} (line {})", on[at].route.name, problems.line(&on[at].span));
-    let asserts = |at: usize, what: &str| on[at].assert.iter().any(|a| a == what);
+    let asserts = |at: usize, what: &str| on[at].assertions.iter().any(|a| a == what);
     for finding in analyze(&routes) {
         match finding {
             Finding::Overlap(a, b) if !(asserts(a, "overlap") && asserts(b, "overlap")) => {
@@ -215,12 +217,12 @@
 }
 
 /// Routes for the path that the listener itself answers.
-fn reserved(listener: &str, ready: &str, on: &[&RouteTo], problems: &Problems<'_>) {
+fn reserved(listener: &str, ready: &str, on: &[&RouteConfig], problems: &Problems<'_>) {
     let Ok(ready_path) = Path::parse(ready) else { return };
     for route in on {
         let path = &route.route.path;
         let literal = path.parameter_count() == 0 && !path.prefix;
-        if literal && path.matches(&ready_path) && !route.assert.iter().any(|a| a == "unreachable") {
+        if literal && path.matches(&ready_path) && !route.assertions.iter().any(|a| a == "unreachable") {
             let found = format!("{ready}, which listener {listener:?} answers itself");
             let key = format!("route {:?}: path", route.route.name);
             problems.dangerous(&route.span, &key, found, "another path or ready_path", "unreachable");
@@ -228,14 +230,14 @@
     }
 }
 
-fn bodies(config: &Config, division: &Division, problems: &Problems<'_>) {
-    let (own, reserve) = &division.bodies;
+fn bodies(config: &Config, division: &ResourceDivision, problems: &Problems<'_>) {
+    let (own, reserve) = &division.body_bytes;
     for (at, (name, pool)) in config.pools.iter().enumerate() {
         // What a pool can have when it is alone: its own, and half of the reserve.
         let most = own[at] + reserve / 2;
         let largest = config.routes.iter().filter(|r| r.split.iter().any(|(p, _)| p == name));
         let Some(largest) = largest.max_by_key(|r| r.body_limit) else { continue };
-        let needed = largest.body_limit.saturating_add(pool.held());
+        let needed = largest.body_limit.saturating_add(pool.max_buffered_response());
         if needed > most {
             let found = format!("{needed} bytes for one body and its answer in pool {name:?}");
             let expected = format!("at most {most}, its part of limits.memory");
--- a/config/src/described.rs
+++ b/config/src/descriptions.rs
@@ -10,7 +10,7 @@
 use sloeline_descriptions::refs::{Documents, Files};
 use sloeline_routing::pattern::{HostPattern, PathPattern, Route, Segment};
 
-use crate::model::{Config, Description, NamedClass, OperationOf, RouteTo, Source};
+use crate::model::{ClassConfig, Config, Description, RouteConfig, RouteOperation, ValueSource};
 use crate::problem::Problems;
 use crate::read::{Section, Size, Time};
 use crate::routes::{self, Names};
@@ -22,15 +22,15 @@
 const COMPARED: f64 = 1.0 / 16.0;
 
 /// Opens the folder that a description lies in.
-pub trait Open {
+pub trait DescriptionLoader {
     /// The files beside a description, and its own name among them; the error is one line.
     fn open(&self, path: &str) -> Result<(Box<dyn Files>, String), String>;
 }
 
 /// There are none.
-pub struct Nowhere;
+pub struct NoDescriptions;
 
-impl Open for Nowhere {
+impl DescriptionLoader for NoDescriptions {
     fn open(&self, path: &str) -> Result<(Box<dyn Files>, String), String> {
         Err(format!("{path}: descriptions are not read here"))
     }
@@ -53,7 +53,7 @@
         section.wrong(&section.span, "unsafe", "nothing", expected);
     }
     let tenant = section.get::<String>("tenant").and_then(|at| {
-        let source = routes::source(&at.value, None).ok().filter(|s| !matches!(s, Source::Segment(_)));
+        let source = routes::source(&at.value, None).ok().filter(|s| !matches!(s, ValueSource::Segment(_)));
         if source.is_none() {
             let expected = "\"header:NAME\", \"query:NAME\" or \"=TEXT\"";
             section.wrong(&at.span, "tenant", format!("{:?}", at.value), expected);
@@ -80,24 +80,24 @@
         hosts,
         listeners,
         split: split?,
-        safe,
-        keyed,
-        unsafe_: unsafe_?,
+        safe_class: safe,
+        keyed_class: keyed,
+        unsafe_class: unsafe_?,
         tenant,
         deadline,
         body_limit,
-        compared: compared.map_or(COMPARED, |c| c.value.min(1.0)),
-        by_hand,
+        compared_share: compared.map_or(COMPARED, |c| c.value.min(1.0)),
+        check_only: by_hand,
         span,
     })
 }
 
 /// Reads all descriptions, and adds their routes and the classes that these need.
-pub fn expand(config: &mut Config, open: &dyn Open, problems: &Problems<'_>) {
+pub fn expand(config: &mut Config, open: &dyn DescriptionLoader, problems: &Problems<'_>) {
     let descriptions: Vec<Description> = config.descriptions.values().cloned().collect();
     for description in &descriptions {
         let operations = operations(config, description, open, problems);
-        if description.by_hand {
+        if description.check_only {
             by_hand(config, description, &operations, problems);
         } else {
             routes_of(config, description, &operations, problems);
@@ -108,7 +108,7 @@
 fn operations(
     config: &Config,
     description: &Description,
-    open: &dyn Open,
+    open: &dyn DescriptionLoader,
     problems: &Problems<'_>,
 ) -> Vec<Operation> {
     let key = format!("description.{}", description.name);
@@ -120,12 +120,15 @@
         }
     };
     let class = |name: &Option<String>| name.as_ref().and_then(|n| config.classes.get(n)).map(|c| &c.class);
-    let remembers = class(&description.keyed).and_then(|class| match class.effect {
+    let remembers = class(&description.keyed_class).and_then(|class| match class.effect {
         Effect::Keyed { window, .. } => Some(window),
         _ => None,
     });
-    let all =
-        [class(&description.safe), class(&description.keyed), class(&Some(description.unsafe_.clone()))];
+    let all = [
+        class(&description.safe_class),
+        class(&description.keyed_class),
+        class(&Some(description.unsafe_class.clone())),
+    ];
     // What the slowest of its callers waits; each operation is held against its own class below.
     let waits = all.into_iter().flatten().map(|c| c.deadline).max();
     let waits = waits.map(|w| description.deadline.map_or(w, |d| d.min(w)));
@@ -156,13 +159,13 @@
 }
 
 /// Where the key stands, in a path of this template.
-fn key(at: &KeyAt, template: &str) -> Option<Source> {
+fn key(at: &KeyAt, template: &str) -> Option<ValueSource> {
     match at {
-        KeyAt::Header(name) => Some(Source::Header(name.clone())),
-        KeyAt::Query(name) => Some(Source::Query(name.clone())),
+        KeyAt::Header(name) => Some(ValueSource::Header(name.clone())),
+        KeyAt::Query(name) => Some(ValueSource::Query(name.clone())),
         KeyAt::Path(name) => {
             let wanted = format!("{{{name}}}");
-            template.split('/').skip(1).position(|segment| segment == wanted).map(Source::Segment)
+            template.split('/').skip(1).position(|segment| segment == wanted).map(ValueSource::Segment)
         }
     }
 }
@@ -175,9 +178,9 @@
     operation: &Operation,
 ) -> Result<(String, Class), String> {
     let (name, word) = match operation.effect {
-        Said::Safe => (description.safe.as_ref(), "safe"),
-        Said::Keyed { .. } => (description.keyed.as_ref(), "keyed"),
-        Said::Unsafe => (Some(&description.unsafe_), "unsafe"),
+        Said::Safe => (description.safe_class.as_ref(), "safe"),
+        Said::Keyed { .. } => (description.keyed_class.as_ref(), "keyed"),
+        Said::Unsafe => (Some(&description.unsafe_class), "unsafe"),
     };
     let name = name.ok_or_else(|| format!("no class for operations that are {word}"))?;
     let base = &config.classes.get(name).ok_or_else(|| format!("no class {name:?}"))?.class;
@@ -245,12 +248,13 @@
                 Said::Keyed { key: at, .. } => key(at, template),
                 _ => None,
             };
-            let tenant = operation.tenant.clone().map(Source::Fixed).or_else(|| description.tenant.clone());
+            let tenant =
+                operation.tenant.clone().map(ValueSource::Fixed).or_else(|| description.tenant.clone());
             // The description's own checks stand for the assertion.
             let asserted = operation.effect == Said::Safe && !SAFE.contains(&operation.method.as_str());
             let name = format!("{} {} {template}", description.name, operation.method);
             let body_limit = operation.body_limit.and_then(|l| usize::try_from(l).ok());
-            config.routes.push(RouteTo {
+            config.routes.push(RouteConfig {
                 route: Route {
                     name: name.clone(),
                     hosts: description.hosts.clone(),
@@ -267,11 +271,11 @@
                 key,
                 deadline: description.deadline,
                 body_limit: body_limit.unwrap_or(description.body_limit),
-                assert: if asserted { vec!["write-method-is-safe".to_owned()] } else { Vec::new() },
-                operation: Some(OperationOf {
+                assertions: if asserted { vec!["write-method-is-safe".to_owned()] } else { Vec::new() },
+                operation: Some(RouteOperation {
                     name,
-                    declared: Declared::of(operation, description.compared),
-                    narrow: description.unsafe_.clone(),
+                    declared: Declared::of(operation, description.compared_share),
+                    restricted_class: description.unsafe_class.clone(),
                 }),
                 span: description.span.clone(),
             });
@@ -285,7 +289,7 @@
         problems.add(&description.span, &table, found, format!("at most {MOST_CLASSES}"));
         return;
     }
-    let named = |class| NamedClass { class, assert: Vec::new(), span: description.span.clone() };
+    let named = |class| ClassConfig { class, assertions: Vec::new(), span: description.span.clone() };
     config.classes.extend(made.into_iter().map(|(name, class)| (name, named(class))));
 }
 
@@ -315,7 +319,7 @@
 }
 
 /// How far a repeat may go: no further than a description says.
-fn wider(class: &Class, key: Option<&Source>, operation: &Operation, template: &str) -> Option<String> {
+fn wider(class: &Class, key: Option<&ValueSource>, operation: &Operation, template: &str) -> Option<String> {
     match (class.effect, &operation.effect) {
         (Effect::Unsafe, _) | (Effect::Safe, Said::Safe) => None,
         (Effect::Safe, _) => Some("a class that may be repeated at will".to_owned()),
@@ -339,11 +343,11 @@
         return;
     }
     let pools: BTreeSet<&String> = description.split.iter().map(|(pool, _)| pool).collect();
-    let host = |route: &RouteTo| {
+    let host = |route: &RouteConfig| {
         let any = |h: &HostPattern| *h == HostPattern::Any;
         route.route.hosts.iter().any(|h| any(h) || description.hosts.iter().any(|d| any(d) || d == h))
     };
-    let mine: Vec<&RouteTo> = config
+    let mine: Vec<&RouteConfig> = config
         .routes
         .iter()
         .filter(|r| r.split.iter().any(|(pool, _)| pools.contains(pool)) && host(r))
@@ -358,12 +362,12 @@
                 operation.place.file, operation.place.node.line, operation.method
             );
             let Ok(path) = pattern(template) else { continue };
-            let fits: Vec<&&RouteTo> = mine
+            let fits: Vec<&&RouteConfig> = mine
                 .iter()
                 .filter(|r| r.route.allows_method(&operation.method) && meet(&path, &r.route.path))
                 .collect();
             met.extend(fits.iter().map(|r| r.route.name.as_str()));
-            let whole = |r: &&&RouteTo| r.route.conditions.is_empty() && within(&path, &r.route.path);
+            let whole = |r: &&&RouteConfig| r.route.conditions.is_empty() && within(&path, &r.route.path);
             if !fits.iter().any(whole) {
                 let found = format!("D050: {at}, which no route takes whatever its headers");
                 problems.add(&description.span, &table, found, "a route, or one operation less");
--- a/config/src/lib.rs
+++ b/config/src/lib.rs
@@ -4,7 +4,7 @@
 //! keys are errors. What is dangerous is an error unless it is asserted by name, see [`model::ASSERTIONS`].
 
 pub mod check;
-pub mod described;
+pub mod descriptions;
 pub mod model;
 pub mod problem;
 mod read;
@@ -12,21 +12,21 @@
 mod sections;
 mod sources;
 
-use described::{Nowhere, Open};
+use descriptions::{DescriptionLoader, NoDescriptions};
 use model::Config;
 use problem::{Problem, Problems, Severity};
 
 /// Reads and checks a configuration; `descriptors` is what the process may hold where the text does not say.
 /// With it come warnings; the error holds all problems, warnings among them, in the order of their lines.
 pub fn load(text: &str, descriptors: usize) -> Result<(Config, Vec<Problem>), Vec<Problem>> {
-    load_with(text, descriptors, &Nowhere)
+    load_with(text, descriptors, &NoDescriptions)
 }
 
 /// The same, with the descriptions that it names.
 pub fn load_with(
     text: &str,
     descriptors: usize,
-    open: &dyn Open,
+    open: &dyn DescriptionLoader,
 ) -> Result<(Config, Vec<Problem>), Vec<Problem>> {
     let problems = Problems::new(text);
     let (table, errors) = toml::de::DeTable::parse_recoverable(text);
@@ -39,7 +39,7 @@
     }
     let mut config = sections::config(&table, &problems, descriptors);
     if let Some(config) = &mut config {
-        described::expand(config, open, &problems);
+        descriptions::expand(config, open, &problems);
         check::check(config, &problems);
     }
     let problems = problems.into_sorted();
--- a/config/src/model.rs
+++ b/config/src/model.rs
@@ -38,7 +38,7 @@
     /// Where callers connect.
     pub listeners: BTreeMap<String, Listener>,
     /// Classes of requests.
-    pub classes: BTreeMap<String, NamedClass>,
+    pub classes: BTreeMap<String, ClassConfig>,
     /// Tenants.
     pub tenants: BTreeMap<String, Tenant>,
     /// Pools of upstreams.
@@ -46,7 +46,7 @@
     /// Descriptions of interfaces.
     pub descriptions: BTreeMap<String, Description>,
     /// Routes, in the order of the text, then those of descriptions.
-    pub routes: Vec<RouteTo>,
+    pub routes: Vec<RouteConfig>,
 }
 
 /// `[fleet]`
@@ -55,17 +55,17 @@
     /// Where it listens, on UDP.
     pub address: SocketAddr,
     /// Where others reach it, if not there.
-    pub announced: Option<SocketAddr>,
+    pub announced_address: Option<SocketAddr>,
     /// Some of the others.
     pub seeds: Vec<SocketAddr>,
     /// As many instances as there may be.
-    pub most: u32,
+    pub max_instances: u32,
     /// From one question to the next.
-    pub period: Micros,
+    pub probe_period: Micros,
     /// Bytes that may be sent each second.
-    pub bytes: usize,
+    pub bytes_per_second: usize,
     /// The key that is signed with.
-    pub key: String,
+    pub signing_key: String,
     /// All keys that are heard, and the files in which they stand, from the configuration's folder.
     pub keys: BTreeMap<String, String>,
 }
@@ -97,7 +97,7 @@
     /// The path of the Unix socket, from the configuration's folder.
     pub socket: Option<String>,
     /// The file of orders, from the same folder; without one they end with the process.
-    pub orders: Option<String>,
+    pub orders_file: Option<String>,
     /// An address for signed calls.
     pub address: Option<SocketAddr>,
     /// Those who may call there.
@@ -110,7 +110,7 @@
     /// The file in which it stands, from the configuration's folder.
     pub file: String,
     /// It is for orders too, not for asking only.
-    pub orders: bool,
+    pub allows_orders: bool,
 }
 
 /// `[instance]`
@@ -128,7 +128,7 @@
 
 /// An instance's place among all that share its upstreams.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Seat {
+pub struct InstancePosition {
     /// How many they are, one at the least.
     pub count: u32,
     /// Its number among them, from 0, under the count. No two should have one number: their turns would fall together.
@@ -137,8 +137,8 @@
 
 impl Instance {
     /// Its place as the configuration has it.
-    pub fn seat(&self) -> Seat {
-        Seat { count: self.count, number: self.number }
+    pub fn position(&self) -> InstancePosition {
+        InstancePosition { count: self.count, number: self.number }
     }
 }
 
@@ -150,7 +150,7 @@
     /// Memory, in bytes.
     pub memory: usize,
     /// From the order to stop until the last answer; none for the longest deadline and half a second.
-    pub stop_within: Option<Micros>,
+    pub stop_timeout: Option<Micros>,
     /// Where it stands.
     pub span: Span,
 }
@@ -159,9 +159,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Work {
     /// The part of a core that background work may use while it holds up no request.
-    pub processor: f64,
+    pub cpu_share: f64,
     /// How long a turn of it should last.
-    pub slice: Micros,
+    pub time_slice: Micros,
 }
 
 /// `[listener.NAME]`
@@ -170,7 +170,7 @@
     /// Where callers connect.
     pub address: SocketAddr,
     /// Most connections; none for an equal part of what callers may hold.
-    pub connections: Option<usize>,
+    pub max_connections: Option<usize>,
     /// The header in which callers say how long they wait, in milliseconds.
     pub deadline_header: Option<String>,
     /// The path that tells whether requests can be served.
@@ -187,11 +187,11 @@
 
 /// `[class.NAME]`
 #[derive(Clone, Debug, PartialEq)]
-pub struct NamedClass {
+pub struct ClassConfig {
     /// As the module has it.
     pub class: Class,
     /// What is asserted of it.
-    pub assert: Vec<String>,
+    pub assertions: Vec<String>,
     /// Where it stands.
     pub span: Span,
 }
@@ -206,25 +206,25 @@
     /// At a registry that speaks the platform's protocol.
     Registry(SocketAddr),
     /// At several places, in the order of their precedence, or at one whose news is weighed.
-    Sources(Vec<Origin>, Doubt),
+    Sources(Vec<MembershipSource>, MembershipGuard),
 }
 
 /// `[[pool.NAME.source]]`
 #[derive(Clone, Debug, PartialEq)]
-pub struct Origin {
+pub struct MembershipSource {
     /// Its name in logs.
     pub name: String,
     /// Calls a second that all instances together may make there after a failure.
-    pub fleet_calls: f64,
+    pub fleet_call_rate: f64,
     /// How long an answer may take.
-    pub answer: Micros,
+    pub response_timeout: Micros,
     /// Where it is and how it is asked.
-    pub place: Place,
+    pub kind: SourceKind,
 }
 
 /// Where a source is and how it is asked.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Place {
+pub enum SourceKind {
     /// `etcd`
     Etcd {
         /// Its endpoints.
@@ -232,11 +232,11 @@
         /// Ends with a slash.
         prefix: String,
         /// How often a quiet watch is checked.
-        check: Micros,
+        check_interval: Micros,
         /// How far a watch may lag behind what a check found.
-        patience: Micros,
+        max_watch_lag: Micros,
         /// How long the known cluster must be silent before an older view or another cluster is believed.
-        believe_after: Micros,
+        acceptance_delay: Micros,
     },
     /// `consul`
     Consul {
@@ -245,11 +245,11 @@
         /// The service.
         service: String,
         /// How long a question waits for news.
-        wait: Micros,
+        poll_wait: Micros,
         /// Any server may answer.
-        stale: bool,
+        allow_stale: bool,
         /// One that has not heard of its leader for so long is not believed.
-        most_stale: Micros,
+        max_staleness: Micros,
     },
     /// `xds`
     Xds {
@@ -258,11 +258,11 @@
         /// The cluster.
         cluster: String,
         /// Incremental, not state of the world.
-        delta: bool,
+        incremental: bool,
         /// A stream is opened anew after this.
-        renew: Micros,
+        stream_lifetime: Micros,
         /// How long a version that was seen before is not believed on a new stream.
-        believe_after: Micros,
+        acceptance_delay: Micros,
     },
     /// `dns` or `srv`
     Dns {
@@ -275,9 +275,9 @@
         /// Servers to ask; none for the system's.
         servers: Vec<SocketAddr>,
         /// Records live no shorter than this ...
-        least: Micros,
+        min_ttl: Micros,
         /// ... and no longer than this.
-        most: Micros,
+        max_ttl: Micros,
     },
     /// `file`
     File(String),
@@ -287,22 +287,28 @@
 
 /// `[pool.NAME.doubt]`
 #[derive(Clone, Debug, PartialEq)]
-pub struct Doubt {
+pub struct MembershipGuard {
     /// Losing more than this part of the serving members within the window is suspect.
-    pub most_lost: f64,
+    pub max_lost_share: f64,
     /// The window.
     pub window: Micros,
     /// How long what is suspect is held.
-    pub hold: Micros,
+    pub hold_time: Micros,
     /// The lists are right, whatever they have lost.
-    pub accept: bool,
+    pub accept_losses: bool,
     /// More members than this are not taken from one source.
-    pub most_members: usize,
+    pub max_members: usize,
 }
 
-impl Default for Doubt {
-    fn default() -> Doubt {
-        Doubt { most_lost: 0.5, window: 10_000_000, hold: 300_000_000, accept: false, most_members: 100_000 }
+impl Default for MembershipGuard {
+    fn default() -> MembershipGuard {
+        MembershipGuard {
+            max_lost_share: 0.5,
+            window: 10_000_000,
+            hold_time: 300_000_000,
+            accept_losses: false,
+            max_members: 100_000,
+        }
     }
 }
 
@@ -320,9 +326,9 @@
     /// How long the entry outlives the instance.
     pub lease: Micros,
     /// Calls a second that all instances together may make there after a failure.
-    pub fleet_calls: f64,
+    pub fleet_call_rate: f64,
     /// How long a call may take.
-    pub answer: Micros,
+    pub response_timeout: Micros,
 }
 
 /// An upstream of a static list.
@@ -344,7 +350,7 @@
 
 /// What proves that an upstream turned a request away unseen.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Declined {
+pub struct DeclineRule {
     /// A header ...
     pub header: String,
     /// ... with this value ...
@@ -359,8 +365,8 @@
 
 impl Pool {
     /// Most bytes of an answer that are held at once.
-    pub fn held(&self) -> usize {
-        self.answer_limit.min(ANSWER_HELD)
+    pub fn max_buffered_response(&self) -> usize {
+        self.response_limit.min(ANSWER_HELD)
     }
 }
 
@@ -374,19 +380,19 @@
     /// Its part of descriptors, open requests and memory beside other pools'.
     pub weight: f64,
     /// How many zones its upstreams are in.
-    pub zones: u32,
+    pub zone_count: u32,
     /// Attempts for a request, all told.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Nothing new goes to an upstream this long after the news that it drains.
     pub drain_grace: Micros,
     /// A started upstream can do this part of its work ...
-    pub cold_from: f64,
+    pub initial_capacity_share: f64,
     /// ... and all of it after this.
-    pub warm_after: Micros,
+    pub warm_up_time: Micros,
     /// Sent more than this multiple of what it can do ...
     pub overload_factor: f64,
     /// ... for this long, a cold upstream falls over.
-    pub tip_after: Micros,
+    pub overload_time: Micros,
     /// How long a connection may take to come up.
     pub connect_timeout: Micros,
     /// After which idle time upstreams close a connection.
@@ -394,16 +400,16 @@
     /// The header that tells upstreams how long the balancer waits, in milliseconds.
     pub deadline_header: Option<String>,
     /// What proves that a request never ran.
-    pub declined: Option<Declined>,
-    /// Most bytes of an answer; what is longer than [`held`](Pool::held) passes through.
-    pub answer_limit: usize,
+    pub declined: Option<DeclineRule>,
+    /// Most bytes of an answer; what is longer than [`held`](Pool::max_buffered_response) passes through.
+    pub response_limit: usize,
     /// Where it stands.
     pub span: Span,
 }
 
 /// Where a route finds something.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Source {
+pub enum ValueSource {
     /// `header:NAME`
     Header(String),
     /// `query:NAME`
@@ -416,7 +422,7 @@
 
 /// `[[route]]`
 #[derive(Clone, Debug, PartialEq)]
-pub struct RouteTo {
+pub struct RouteConfig {
     /// What it asks for.
     pub route: Route,
     /// The listeners it is for.
@@ -424,36 +430,36 @@
     /// Pools by weight; one pool has weight 100.
     pub split: Vec<(String, u32)>,
     /// What keeps a caller on its side.
-    pub sticky: Option<Source>,
+    pub sticky: Option<ValueSource>,
     /// Its classes; more than one only where a header names it.
     pub classes: Vec<String>,
     /// The header that names the class.
     pub class_header: Option<String>,
     /// Whose requests they are.
-    pub tenant: Option<Source>,
+    pub tenant: Option<ValueSource>,
     /// What a keyed request is known by.
-    pub key: Option<Source>,
+    pub key: Option<ValueSource>,
     /// How long callers wait at the longest, if that is less than the class says.
     pub deadline: Option<Micros>,
     /// Most bytes of a body.
     pub body_limit: usize,
     /// What is asserted of it.
-    pub assert: Vec<String>,
+    pub assertions: Vec<String>,
     /// The operation that it was made for.
-    pub operation: Option<OperationOf>,
+    pub operation: Option<RouteOperation>,
     /// Where it stands.
     pub span: Span,
 }
 
 /// The operation of a route that was made from a description.
 #[derive(Clone, Debug, PartialEq)]
-pub struct OperationOf {
+pub struct RouteOperation {
     /// `portal POST /v1/checks`
     pub name: String,
     /// What is said of its answers.
     pub declared: Declared,
     /// The class by which it goes once it is narrowed.
-    pub narrow: String,
+    pub restricted_class: String,
 }
 
 /// `[description.NAME]`
@@ -470,21 +476,21 @@
     /// Pools by weight.
     pub split: Vec<(String, u32)>,
     /// The class of safe operations.
-    pub safe: Option<String>,
+    pub safe_class: Option<String>,
     /// The class of keyed ones.
-    pub keyed: Option<String>,
+    pub keyed_class: Option<String>,
     /// The class of all others, and of those that are narrowed.
-    pub unsafe_: String,
+    pub unsafe_class: String,
     /// Whose requests they are, where an operation does not say.
-    pub tenant: Option<Source>,
+    pub tenant: Option<ValueSource>,
     /// How long callers wait at the longest, if that is less than the class says.
     pub deadline: Option<Micros>,
     /// Most bytes of a body, where an operation does not say.
     pub body_limit: usize,
     /// The share of answers that are compared with it.
-    pub compared: f64,
+    pub compared_share: f64,
     /// It makes no routes: those that were written by hand are held against it.
-    pub by_hand: bool,
+    pub check_only: bool,
     /// Where it stands.
     pub span: Span,
 }
@@ -502,7 +508,7 @@
             for (pool, _) in &route.split {
                 let names = classes.entry(pool).or_default();
                 names.extend(route.classes.iter().map(String::as_str));
-                names.extend(route.operation.iter().map(|o| o.narrow.as_str()));
+                names.extend(route.operation.iter().map(|o| o.restricted_class.as_str()));
             }
         }
         classes
--- a/config/src/routes.rs
+++ b/config/src/routes.rs
@@ -3,7 +3,7 @@
 use sloeline_routing::pattern::{Condition, ConditionSource, HostPattern, PathPattern, Predicate, Route};
 use toml::de::DeValue;
 
-use crate::model::{ASSERTIONS, RouteTo, Source};
+use crate::model::{ASSERTIONS, RouteConfig, ValueSource};
 use crate::read::{At, Section, Size, Time};
 use crate::sections::{good_header, header};
 
@@ -74,7 +74,7 @@
     }
 }
 
-pub fn route(section: Section<'_>, names: &Names) -> Option<RouteTo> {
+pub fn route(section: Section<'_>, names: &Names) -> Option<RouteConfig> {
     let (path, prefix) = (section.get::<String>("path"), section.get::<String>("prefix"));
     let pattern = match (&path, &prefix) {
         (Some(at), None) => Some(("path", at, false)),
@@ -150,7 +150,7 @@
     let route = Route { name: name?, hosts, methods: values(methods), path: path?, conditions };
     let (classes, assert) = (values(classes), values(assert));
     let split = split?;
-    Some(RouteTo {
+    Some(RouteConfig {
         route,
         listeners,
         split,
@@ -161,7 +161,7 @@
         key,
         deadline,
         body_limit,
-        assert,
+        assertions: assert,
         operation: None,
         span,
     })
@@ -227,21 +227,21 @@
     }
 }
 
-pub fn source(text: &str, path: Option<&PathPattern>) -> Result<Source, String> {
+pub fn source(text: &str, path: Option<&PathPattern>) -> Result<ValueSource, String> {
     let expected = "\"header:NAME\", \"query:NAME\", \"path:PARAMETER\" or \"=TEXT\"";
     match text.split_once(':') {
-        Some(("header", name)) if good_header(name) => Ok(Source::Header(name.to_ascii_lowercase())),
-        Some(("query", name)) if !name.is_empty() => Ok(Source::Query(name.to_owned())),
+        Some(("header", name)) if good_header(name) => Ok(ValueSource::Header(name.to_ascii_lowercase())),
+        Some(("query", name)) if !name.is_empty() => Ok(ValueSource::Query(name.to_owned())),
         Some(("path", name)) => match path {
             Some(path) => path
                 .parameter_index(name)
-                .map(Source::Segment)
+                .map(ValueSource::Segment)
                 .ok_or_else(|| format!("a parameter of {path}; {name:?} is none")),
             // Its own error was noted.
-            None => Ok(Source::Segment(0)),
+            None => Ok(ValueSource::Segment(0)),
         },
         _ => match text.strip_prefix('=') {
-            Some(fixed) if !fixed.is_empty() => Ok(Source::Fixed(fixed.to_owned())),
+            Some(fixed) if !fixed.is_empty() => Ok(ValueSource::Fixed(fixed.to_owned())),
             _ => Err(expected.to_owned()),
         },
     }
--- a/config/src/sections.rs
+++ b/config/src/sections.rs
@@ -8,12 +8,12 @@
 use toml::de::DeTable;
 
 use crate::model::{
-    Config, Control, ControlKey, Declined, Fleet, Instance, Limits, Listener, Log, NamedClass, Node, Nodes,
-    Pool, Work,
+    ClassConfig, Config, Control, ControlKey, DeclineRule, Fleet, Instance, Limits, Listener, Log, Node,
+    Nodes, Pool, Work,
 };
 use crate::problem::Problems;
 use crate::read::{At, Section, Size, Time};
-use crate::{described, routes, sources};
+use crate::{descriptions, routes, sources};
 
 const MILLISECOND: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
@@ -52,7 +52,7 @@
     let mut pools = BTreeMap::new();
     for (name, section) in root.named("pool") {
         named.push(name.value.clone());
-        if let Some(pool) = pool(section, &instance, fleet.as_ref().map(|f| f.most)) {
+        if let Some(pool) = pool(section, &instance, fleet.as_ref().map(|f| f.max_instances)) {
             pools.insert(name.value, pool);
         }
     }
@@ -62,7 +62,7 @@
     let routes =
         root.list("route").into_iter().filter_map(|section| routes::route(section, &names)).collect();
     let described = |(name, section): (At<String>, Section<'a>)| {
-        described::section(&name.value, section, &names).map(|d| (name.value, d))
+        descriptions::section(&name.value, section, &names).map(|d| (name.value, d))
     };
     let descriptions = root.named("description").into_iter().filter_map(described).collect();
     for (list, what) in [(&names.listeners, "listener"), (&names.pools, "pool"), (&names.classes, "class")] {
@@ -109,12 +109,12 @@
     }
     let fleet = Fleet {
         address: address?.value,
-        announced: section.get::<SocketAddr>("announced").map(|at| at.value),
+        announced_address: section.get::<SocketAddr>("announced").map(|at| at.value),
         seeds: section.or("seeds", Vec::new()),
-        most: most?.value as u32,
-        period: positive(&section, "period", SECOND),
-        bytes: section.or("bytes", Size(20_000)).0,
-        key: key?.value,
+        max_instances: most?.value as u32,
+        probe_period: positive(&section, "period", SECOND),
+        bytes_per_second: section.or("bytes", Size(20_000)).0,
+        signing_key: key?.value,
         keys,
     };
     section.end();
@@ -172,7 +172,7 @@
         let orders = may.is_some_and(|may| may.value == "order");
         key.end();
         if let Some(file) = file {
-            keys.insert(name.value, ControlKey { file: file.value, orders });
+            keys.insert(name.value, ControlKey { file: file.value, allows_orders: orders });
         }
     }
     match &address {
@@ -192,7 +192,7 @@
     }
     let address = address.map(|at| at.value);
     section.end();
-    Control { socket, orders, address, keys }
+    Control { socket, orders_file: orders, address, keys }
 }
 
 fn instance(section: Option<Section<'_>>) -> Instance {
@@ -216,7 +216,7 @@
 }
 
 fn limits(section: Option<Section<'_>>, descriptors: usize) -> Limits {
-    let mut limits = Limits { descriptors, memory: 256 << 20, stop_within: None, span: 0..0 };
+    let mut limits = Limits { descriptors, memory: 256 << 20, stop_timeout: None, span: 0..0 };
     let Some(section) = section else { return limits };
     if let Some(given) = section.get::<u64>("descriptors") {
         let most = given.value as usize;
@@ -227,7 +227,7 @@
         limits.descriptors = most;
     }
     limits.memory = section.or("memory", Size(limits.memory)).0;
-    limits.stop_within = section.get::<Time>("stop_within").map(|t| t.value.0);
+    limits.stop_timeout = section.get::<Time>("stop_within").map(|t| t.value.0);
     limits.span = section.span.clone();
     section.end();
     limits
@@ -272,7 +272,7 @@
     }
     let listener = Listener {
         address: address.as_ref().map_or(([0, 0, 0, 0], 0).into(), |a| a.value),
-        connections: connections.map(|c| c.value as usize),
+        max_connections: connections.map(|c| c.value as usize),
         deadline_header: header(&section, "deadline_header"),
         ready_path: ready.map_or("/health/ready".to_owned(), |p| p.value),
         idle_timeout: positive(&section, "idle_timeout", 60 * SECOND),
@@ -284,7 +284,7 @@
     address.map(|_| listener)
 }
 
-fn class(section: Section<'_>) -> Option<NamedClass> {
+fn class(section: Section<'_>) -> Option<ClassConfig> {
     let group = section.get::<String>("group");
     let window = section.get::<Time>("window");
     let effect = section.need::<String>("effect", "\"safe\", \"keyed\" or \"unsafe\"");
@@ -354,21 +354,21 @@
         late_value_ratio: late.map_or(0.0, |l| l.value),
         stream: false,
     };
-    Some(NamedClass { class, assert, span })
+    Some(ClassConfig { class, assertions: assert, span })
 }
 
 fn work(section: Option<Section<'_>>) -> Work {
-    let mut work = Work { processor: 0.2, slice: 2_000 };
+    let mut work = Work { cpu_share: 0.2, time_slice: 2_000 };
     let Some(section) = section else { return work };
     if let Some(processor) = section.get::<f64>("processor") {
         if processor.value > 0.0 && processor.value <= 1.0 {
-            work.processor = processor.value;
+            work.cpu_share = processor.value;
         } else {
             let expected = "a part of a core, more than 0 and up to 1";
             section.wrong(&processor.span, "processor", processor.value.to_string(), expected);
         }
     }
-    work.slice = positive(&section, "slice", work.slice);
+    work.time_slice = positive(&section, "slice", work.time_slice);
     section.end();
     work
 }
@@ -421,18 +421,18 @@
     let pool = Pool {
         fleet_rate: fleet_rate.map(|rate| rate.value),
         weight: weight.map_or(1.0, |w| w.value),
-        zones: zones.map_or(1, |z| z.value as u32),
-        attempts: attempts.map_or(4, |a| a.value as u32),
+        zone_count: zones.map_or(1, |z| z.value as u32),
+        max_attempts: attempts.map_or(4, |a| a.value as u32),
         drain_grace: section.or("drain_grace", Time(2 * SECOND)).0,
-        cold_from: cold.map_or(0.13, |c| c.value),
-        warm_after: section.or("warm_after", Time(24 * SECOND)).0,
+        initial_capacity_share: cold.map_or(0.13, |c| c.value),
+        warm_up_time: section.or("warm_after", Time(24 * SECOND)).0,
         overload_factor: overload.map_or(3.0, |o| o.value),
-        tip_after: section.or("tip_after", Time(1500 * MILLISECOND)).0,
+        overload_time: section.or("tip_after", Time(1500 * MILLISECOND)).0,
         connect_timeout: positive(&section, "connect_timeout", SECOND),
         idle_timeout: positive(&section, "idle_timeout", 4 * SECOND),
         deadline_header: header(&section, "deadline_header"),
         declined: section.section("declined").and_then(declined),
-        answer_limit: section.or("answer_limit", Size(64 << 10)).0,
+        response_limit: section.or("answer_limit", Size(64 << 10)).0,
         span: section.span.clone(),
         // Read above; put last so that a pool without any is read to its end.
         nodes: nodes.clone().unwrap_or(Nodes::Static(Vec::new())),
@@ -441,7 +441,7 @@
     nodes.map(|_| pool)
 }
 
-fn declined(section: Section<'_>) -> Option<Declined> {
+fn declined(section: Section<'_>) -> Option<DeclineRule> {
     let name = section.need::<String>("header", "the name of a header").filter(|h| {
         let good = good_header(&h.value);
         if !good {
@@ -456,7 +456,7 @@
     }
     section.end();
     let statuses = statuses?.value.iter().map(|s| *s as u16).collect();
-    Some(Declined { header: name?.value.to_ascii_lowercase(), value: value?.value, statuses })
+    Some(DeclineRule { header: name?.value.to_ascii_lowercase(), value: value?.value, statuses })
 }
 
 fn nodes(section: &Section<'_>, instance: &Instance) -> Option<Nodes> {
--- a/config/src/sources.rs
+++ b/config/src/sources.rs
@@ -4,7 +4,7 @@
 
 use finchshift::Micros;
 
-use crate::model::{Announce, Doubt, Instance, Origin, Place};
+use crate::model::{Announce, Instance, MembershipGuard, MembershipSource, SourceKind};
 use crate::read::{At, Section, Time};
 use crate::sections::positive;
 
@@ -61,7 +61,7 @@
     Some(at.value)
 }
 
-fn place(section: &Section<'_>, instance: &Instance) -> Option<(&'static str, Place)> {
+fn place(section: &Section<'_>, instance: &Instance) -> Option<(&'static str, SourceKind)> {
     let kinds = ["etcd", "consul", "xds", "dns", "srv", "file", "registry"];
     let (etcd, consul) = (endpoints(section, "etcd"), endpoints(section, "consul"));
     let xds = endpoints(section, "xds");
@@ -84,26 +84,35 @@
     }
     if let Some(endpoints) = etcd {
         let prefix = prefix(section);
-        let check = positive(section, "check", 5 * SECOND);
-        let patience = positive(section, "patience", SECOND);
-        let believe_after = positive(section, "believe_after", 30 * SECOND);
-        return Some(("etcd", Place::Etcd { endpoints, prefix: prefix?, check, patience, believe_after }));
+        let check_interval = positive(section, "check", 5 * SECOND);
+        let max_watch_lag = positive(section, "patience", SECOND);
+        let acceptance_delay = positive(section, "believe_after", 30 * SECOND);
+        return Some((
+            "etcd",
+            SourceKind::Etcd { endpoints, prefix: prefix?, check_interval, max_watch_lag, acceptance_delay },
+        ));
     }
     if let Some(endpoints) = consul {
         let service = section.need::<String>("service", "the name of the service");
-        let wait = positive(section, "wait", 10 * SECOND);
-        let stale = section.or("stale", false);
-        let most_stale = positive(section, "most_stale", 5 * SECOND);
+        let poll_wait = positive(section, "wait", 10 * SECOND);
+        let allow_stale = section.or("stale", false);
+        let max_staleness = positive(section, "most_stale", 5 * SECOND);
         let service = service?.value;
-        return Some(("consul", Place::Consul { endpoints, service, wait, stale, most_stale }));
+        return Some((
+            "consul",
+            SourceKind::Consul { endpoints, service, poll_wait, allow_stale, max_staleness },
+        ));
     }
     if let Some(endpoints) = xds {
         let cluster = section.need::<String>("cluster", "the name of the cluster");
-        let delta = section.or("delta", false);
-        let renew = positive(section, "renew", 300 * SECOND);
-        let believe_after = positive(section, "believe_after", 30 * SECOND);
+        let incremental = section.or("delta", false);
+        let stream_lifetime = positive(section, "renew", 300 * SECOND);
+        let acceptance_delay = positive(section, "believe_after", 30 * SECOND);
         let cluster = cluster?.value;
-        return Some(("xds", Place::Xds { endpoints, cluster, delta, renew, believe_after }));
+        return Some((
+            "xds",
+            SourceKind::Xds { endpoints, cluster, incremental, stream_lifetime, acceptance_delay },
+        ));
     }
     if let Some((key, at)) = dns.map(|d| ("dns", d)).or(srv.map(|s| ("srv", s))) {
         let port = match (key, section.get::<u64>("port")) {
@@ -124,20 +133,24 @@
         };
         let servers = section.or("servers", Vec::new());
         let zone = section.or("zone", instance.zone.clone());
-        let least = positive(section, "least_ttl", SECOND);
-        let most = positive(section, "most_ttl", 60 * SECOND);
+        let min_ttl = positive(section, "least_ttl", SECOND);
+        let max_ttl = positive(section, "most_ttl", 60 * SECOND);
         let name = name(section, key, at)?;
-        return Some((key, Place::Dns { name, port, zone, servers, least, most }));
+        return Some((key, SourceKind::Dns { name, port, zone, servers, min_ttl, max_ttl }));
     }
     if let Some(file) = file {
-        return Some(("file", Place::File(file.value)));
+        return Some(("file", SourceKind::File(file.value)));
     }
-    registry.map(|registry| ("registry", Place::Registry(registry.value)))
+    registry.map(|registry| ("registry", SourceKind::Registry(registry.value)))
 }
 
 /// The sources of a pool, in the order of the text, which is that of their precedence.
-pub fn origins(pool: &Section<'_>, sections: Vec<Section<'_>>, instance: &Instance) -> Option<Vec<Origin>> {
-    let mut origins: Vec<Origin> = Vec::new();
+pub fn origins(
+    pool: &Section<'_>,
+    sections: Vec<Section<'_>>,
+    instance: &Instance,
+) -> Option<Vec<MembershipSource>> {
+    let mut origins: Vec<MembershipSource> = Vec::new();
     let (all, mut whole) = (sections.len(), true);
     for section in sections {
         let span = section.span.clone();
@@ -149,7 +162,7 @@
             continue;
         };
         let (fleet_calls, answer) = match &place {
-            Place::File(_) | Place::Registry(_) => (FLEET_CALLS, 3 * SECOND),
+            SourceKind::File(_) | SourceKind::Registry(_) => (FLEET_CALLS, 3 * SECOND),
             _ => (fleet_calls(&section), positive(&section, "answer", 15 * SECOND)),
         };
         section.end();
@@ -157,14 +170,19 @@
         if origins.iter().any(|o| o.name == name) {
             pool.wrong(&span, "source", format!("{name:?} twice"), "names that stand once");
         }
-        origins.push(Origin { name, fleet_calls, answer, place });
+        origins.push(MembershipSource {
+            name,
+            fleet_call_rate: fleet_calls,
+            response_timeout: answer,
+            kind: place,
+        });
     }
     (whole && origins.len() == all).then_some(origins)
 }
 
 /// The rules of doubt.
-pub fn doubt(section: Section<'_>) -> Doubt {
-    let or = Doubt::default();
+pub fn doubt(section: Section<'_>) -> MembershipGuard {
+    let or = MembershipGuard::default();
     let most_lost = section.get::<f64>("most_lost");
     if let Some(wrong) = most_lost.as_ref().filter(|m| m.value > 1.0) {
         section.wrong(&wrong.span, "most_lost", wrong.value.to_string(), "a part, from 0 to 1");
@@ -173,12 +191,12 @@
     if let Some(wrong) = most_members.as_ref().filter(|m| !(1..=1_000_000).contains(&m.value)) {
         section.wrong(&wrong.span, "most_members", wrong.value.to_string(), "1 to 1000000");
     }
-    let doubt = Doubt {
-        most_lost: most_lost.map_or(or.most_lost, |m| m.value),
+    let doubt = MembershipGuard {
+        max_lost_share: most_lost.map_or(or.max_lost_share, |m| m.value),
         window: positive(&section, "window", or.window),
-        hold: positive(&section, "hold", or.hold),
-        accept: section.or("accept", or.accept),
-        most_members: most_members.map_or(or.most_members, |m| m.value as usize),
+        hold_time: positive(&section, "hold", or.hold_time),
+        accept_losses: section.or("accept", or.accept_losses),
+        max_members: most_members.map_or(or.max_members, |m| m.value as usize),
     };
     section.end();
     doubt
@@ -207,7 +225,7 @@
         identity,
         address: address?.value,
         lease,
-        fleet_calls,
-        answer,
+        fleet_call_rate: fleet_calls,
+        response_timeout: answer,
     })
 }
--- a/sloeline/src/daemon.rs
+++ b/sloeline/src/daemon.rs
@@ -15,7 +15,7 @@
 
 use finchshift::Micros;
 use hyper::header::HeaderName;
-use sloeline_config::check::{Division, division};
+use sloeline_config::check::{ResourceDivision, divide_resources};
 use sloeline_config::model::{Announce, Config, Listener};
 use sloeline_config::problem::Problem;
 use sloeline_events::hub::hub;
@@ -114,7 +114,7 @@
 /// A configuration that is ready to be taken.
 pub struct Prepared {
     config: Config,
-    division: Division,
+    division: ResourceDivision,
     zones: NameTable,
     plans: Vec<(String, Plan)>,
     numbers: Numbers,
@@ -175,7 +175,7 @@
 
 fn room(config: &Config, listener: &Listener, places: usize) -> Room {
     let longest = config.longest_deadline() + STOP_MARGIN;
-    let leave_within = time(config.limits.stop_within.unwrap_or(longest));
+    let leave_within = time(config.limits.stop_timeout.unwrap_or(longest));
     Room {
         places,
         pace: Pace {
@@ -209,7 +209,7 @@
 const MOST_WORK: usize = 10_000;
 /// The budget of a configuration's background work: microseconds a second, and as many as gather in a quarter of one.
 fn budget(config: &Config) -> (f64, f64) {
-    let rate = config.work.processor * 1e6;
+    let rate = config.work.cpu_share * 1e6;
     (rate, rate / 4.0)
 }
 
@@ -220,10 +220,10 @@
         let config = &loaded.config;
         let (rate, most) = budget(config);
         let schedule = Schedule::new(MOST_WORK, vec![Budget::new(rate, most)], seed);
-        let work = Worker::new(schedule, time(config.work.slice));
+        let work = Worker::new(schedule, time(config.work.time_slice));
         spawn_local(work.clone().run());
         let reserve = || Reserve::new(0);
-        let ledger = config.control.orders.as_ref().map(|path| folder.join(path));
+        let ledger = config.control.orders_file.as_ref().map(|path| folder.join(path));
         let mut daemon = Daemon {
             folder: folder.to_owned(),
             config: config.clone(),
@@ -268,7 +268,7 @@
         let Loaded { config, mut tables } = config.into();
         let only_at_start = [
             ("instance.zone", Some(&config.instance.zone), Some(&self.config.instance.zone)),
-            ("control.orders", config.control.orders.as_ref(), self.config.control.orders.as_ref()),
+            ("control.orders", config.control.orders_file.as_ref(), self.config.control.orders_file.as_ref()),
         ];
         for (key, found, expected) in only_at_start {
             if found != expected {
@@ -282,7 +282,7 @@
         for free in closing {
             let _ = free.await;
         }
-        let division = division(&config)?;
+        let division = divide_resources(&config)?;
         let mut zones = NameTable::default();
         let mut turn = self.work.turn(Job::new("reload", 0, Priority::Soon)).await;
         let turn = turn.as_mut().map_err(|why| format!("no turn to make it ready in: {why:?}"))?;
@@ -297,7 +297,7 @@
         }
         let numbers: Numbers = plans.iter().map(|(name, plan)| (name.clone(), plan.numbers())).collect();
         let operations = self.operations.plan(&config, self.rng.borrow_mut().u64(..));
-        let heard = config.listeners.iter().zip(&division.listeners);
+        let heard = config.listeners.iter().zip(&division.caller_connections);
         let mut listeners: Vec<ListenerPlan> = Vec::new();
         for ((name, l), places) in heard {
             let table = tables.remove(name).unwrap_or_else(|| Table::new(Vec::new()));
@@ -358,9 +358,9 @@
         self.resize(&division);
         for (at, (name, plan)) in plans.into_iter().enumerate() {
             let parts = Parts {
-                upstreams: division.upstreams.0[at],
-                open: division.open.0[at],
-                bodies: division.bodies.0[at],
+                upstreams: division.upstream_connections.0[at],
+                open: division.open_requests.0[at],
+                bodies: division.body_bytes.0[at],
             };
             if self.pools.contains_key(&name) {
                 changes.push((name, plan, parts));
@@ -437,10 +437,10 @@
         }
     }
 
-    fn resize(&self, division: &Division) {
-        self.reserves.upstreams.resize(division.upstreams.1);
-        self.reserves.open.resize(division.open.1);
-        self.reserves.bodies.resize(division.bodies.1);
+    fn resize(&self, division: &ResourceDivision) {
+        self.reserves.upstreams.resize(division.upstream_connections.1);
+        self.reserves.open.resize(division.open_requests.1);
+        self.reserves.bodies.resize(division.body_bytes.1);
     }
 
     fn plan_listener(
@@ -518,7 +518,7 @@
     /// Stops as planned: unready at once, then no new connections, then every answer.
     pub async fn stop(self) {
         let longest = self.config.longest_deadline() + STOP_MARGIN;
-        let within = time(self.config.limits.stop_within.unwrap_or(longest)) + LEFT_OPEN;
+        let within = time(self.config.limits.stop_timeout.unwrap_or(longest)) + LEFT_OPEN;
         // Readers of the registry send their callers elsewhere while this instance still takes them.
         if let Some((_, announcement)) = &self.announced {
             announcement.want(Wanted::Draining);
--- a/sloeline/src/daemon/control.rs
+++ b/sloeline/src/daemon/control.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use serde_json::{Value, json};
-use sloeline_config::model::{Config, Control, ControlKey, Log, RouteTo};
+use sloeline_config::model::{Config, Control, ControlKey, Log, RouteConfig};
 use sloeline_events::filter::{Levels, Wanted, level};
 use sloeline_events::hub::{Form, Settings, hub};
 use sloeline_events::limit::Rate;
@@ -32,7 +32,7 @@
 const SNAPSHOT_REQUESTS: usize = 64;
 
 /// Where a route leads, in a row.
-fn route(route: &RouteTo) -> Value {
+fn route(route: &RouteConfig) -> Value {
     let pools: Vec<String> = route.split.iter().map(|(pool, weight)| format!("{pool}:{weight}")).collect();
     json!({
         "route": route.route.name,
@@ -117,7 +117,7 @@
     let read = |(name, key): (&String, &ControlKey)| {
         let named = |why: String| format!("control.key.{name}: {why}");
         let text = secret_text(&folder.join(&key.file)).map_err(named)?;
-        let may = if key.orders { May::Order } else { May::Ask };
+        let may = if key.allows_orders { May::Order } else { May::Ask };
         Ok((name.clone(), Key { secret: Secret::read(&text).map_err(named)?, may }))
     };
     control.keys.iter().map(read).collect()
--- a/sloeline/src/daemon/fleet.rs
+++ b/sloeline/src/daemon/fleet.rs
@@ -7,7 +7,7 @@
 
 use finchshift::Micros;
 use serde_json::{Value, json};
-use sloeline_config::model::{Config, Fleet as Wanted, Seat};
+use sloeline_config::model::{Config, Fleet as Wanted, InstancePosition};
 use sloeline_events::tell;
 use sloeline_fleet::grants;
 use sloeline_fleet::message::{Fact, Keys, MOST_NAME, Name, Seen, State};
@@ -46,7 +46,7 @@
 pub(super) struct Part {
     fleet: Rc<Fleet>,
     /// Its place among all that share each upstream.
-    seat: Seat,
+    seat: InstancePosition,
     shares: BTreeMap<String, Share>,
     /// What the own sources have said, by pool and source.
     said: BTreeMap<(String, String), Said>,
@@ -125,8 +125,8 @@
 /// Reads the keys that a configuration names, the one that is signed with first.
 fn keys(wanted: &Wanted, folder: &Path) -> Result<Keys, String> {
     let mut read = Vec::new();
-    let others = wanted.keys.keys().filter(|name| **name != wanted.key);
-    for name in std::iter::once(&wanted.key).chain(others) {
+    let others = wanted.keys.keys().filter(|name| **name != wanted.signing_key);
+    for name in std::iter::once(&wanted.signing_key).chain(others) {
         let named = |why: String| format!("fleet.key.{name}: {why}");
         let file = wanted.keys.get(name).ok_or_else(|| named("no such key".to_owned()))?;
         let text = secret_text(&folder.join(file)).map_err(named)?;
@@ -142,9 +142,9 @@
         let settings = grants::Settings {
             limit,
             shared: limit / 2,
-            most: wanted.most,
-            term: TERM * wanted.period,
-            grant: GRANT * wanted.period,
+            most: wanted.max_instances,
+            term: TERM * wanted.probe_period,
+            grant: GRANT * wanted.probe_period,
         };
         Some((Name::from(name.as_str()), settings))
     };
@@ -154,7 +154,11 @@
 /// What is wrong with another configuration beside the one in force, if anything: these change with a restart.
 pub(super) fn same(found: &Config, expected: &Config) -> Result<(), String> {
     let but_keys = |config: &Config| {
-        config.fleet.clone().map(|fleet| Wanted { keys: BTreeMap::new(), key: String::new(), ..fleet })
+        config.fleet.clone().map(|fleet| Wanted {
+            keys: BTreeMap::new(),
+            signing_key: String::new(),
+            ..fleet
+        })
     };
     let rates = |config: &Config| -> Vec<(String, u64)> {
         config.pools.iter().filter_map(|(name, pool)| Some((name.clone(), pool.fleet_rate?))).collect()
@@ -178,13 +182,13 @@
             name: self.config.instance.name.as_str().into(),
             zone: self.config.instance.zone.as_str().into(),
             bind: wanted.address,
-            announced: wanted.announced,
+            announced: wanted.announced_address,
             seeds: wanted.seeds.clone(),
             keys: keys(&wanted, &self.folder)?,
             settings: swim::Settings {
-                period: wanted.period,
-                patience: wanted.period * 3 / 10,
-                bytes: wanted.bytes as f64,
+                period: wanted.probe_period,
+                patience: wanted.probe_period * 3 / 10,
+                bytes: wanted.bytes_per_second as f64,
                 ..swim::Settings::default()
             },
             budgets: budgets(&self.config, &wanted),
@@ -192,14 +196,14 @@
         let fleet = Fleet::start(start).await.map_err(|e| format!("fleet: {}: {e}", wanted.address))?;
         let part = Part {
             fleet,
-            seat: self.config.instance.seat(),
+            seat: self.config.instance.position(),
             shares: BTreeMap::new(),
             said: BTreeMap::new(),
             kept_out: BTreeMap::new(),
             told_out: BTreeSet::new(),
         };
         // What others know of drains comes before the first request, if anybody is there to tell it.
-        if !part.fleet.joined(time(JOINED * wanted.period)).await {
+        if !part.fleet.joined(time(JOINED * wanted.probe_period)).await {
             tell!(FLEET_ALONE; "fleet: nobody has answered yet; it goes on alone");
         }
         *self.part.borrow_mut() = Some(part);
@@ -240,11 +244,11 @@
     /// more. Guards cold upstreams: a count that is too high costs some of what they could take, one that is too low all.
     /// Its own number among them is its place by name: calls to cold upstreams come in turns by number, and instances of a
     /// fleet are seldom given numbers of their own.
-    pub(super) fn seat(&self, config: &Config) -> Seat {
-        let own = config.instance.seat();
+    pub(super) fn seat(&self, config: &Config) -> InstancePosition {
+        let own = config.instance.position();
         let part = self.part.borrow();
         let Some(fleet) = part.as_ref().map(|part| &part.fleet) else { return own };
-        Seat { count: own.count.max(fleet.count().1 as u32), number: fleet.place() as u32 }
+        InstancePosition { count: own.count.max(fleet.count().1 as u32), number: fleet.place() as u32 }
     }
 
     /// Nodes that are kept out by the word of other instances, by pool.
--- a/sloeline/src/daemon/pools.rs
+++ b/sloeline/src/daemon/pools.rs
@@ -11,7 +11,9 @@
 use hyper::StatusCode;
 use hyper::header::{HeaderName, HeaderValue};
 use serde_json::{Value, json};
-use sloeline_config::model::{Config, Instance, Nodes, Origin, Place, Pool as Wanted, Seat};
+use sloeline_config::model::{
+    Config, Instance, InstancePosition, MembershipSource, Nodes, Pool as Wanted, SourceKind,
+};
 use sloeline_engine::core::{RequestStatus, Stage};
 use sloeline_engine::engine::Engine;
 use sloeline_engine::types::DiscoveryEntry;
@@ -112,8 +114,8 @@
         deadline: pool.deadline_header.as_deref().map(header).transpose()?,
         only_ok: false,
         declined: declined.transpose()?,
-        most_answer: pool.answer_limit,
-        held: pool.held(),
+        most_answer: pool.response_limit,
+        held: pool.max_buffered_response(),
         forwards: false,
         errors: false,
         echo: None,
@@ -126,21 +128,21 @@
         balancer_index: config.instance.number,
         balancers: config.instance.count,
         zone: zones.id_of(&config.instance.zone),
-        zones: pool.zones,
+        zones: pool.zone_count,
         tenants: config.tenants.values().copied().collect(),
         limits: fs::Limits {
             cancel: true,
             retry_after: true,
-            max_attempts: pool.attempts,
+            max_attempts: pool.max_attempts,
             connect_timeout: pool.connect_timeout,
             idle_close: pool.idle_timeout,
             ..base.limits
         },
         rules: fs::Rules {
-            initial_capacity_share: pool.cold_from,
-            warm_up_time: pool.warm_after,
+            initial_capacity_share: pool.initial_capacity_share,
+            warm_up_time: pool.warm_up_time,
             overload_factor: pool.overload_factor,
-            overload_time: pool.tip_after,
+            overload_time: pool.overload_time,
             drain_grace: pool.drain_grace,
             ..base.rules
         },
@@ -157,7 +159,7 @@
         folder: &Path,
         zones: &mut NameTable,
         before: Option<&Running>,
-        Seat { count, number }: Seat,
+        InstancePosition { count, number }: InstancePosition,
     ) -> Result<Plan, String> {
         let named = |why: String| format!("pool.{name}: {why}");
         let pool = config.pools.get(name).ok_or_else(|| named("not configured".to_owned()))?;
@@ -247,7 +249,7 @@
             bound: AdmissionLimit::default(),
             fleet: AdmissionLimit::default(),
             bodies: Share::new(parts.bodies, &reserves.bodies),
-            most_answer: Cell::new(plan.config.held()),
+            most_answer: Cell::new(plan.config.max_buffered_response()),
             admitted: Rc::default(),
             held,
         };
@@ -287,7 +289,7 @@
         self.slots.clone_from(&plan.assigned.slots);
         self.settings.borrow_mut().clone_from(&plan.settings);
         self.pool.tenants.borrow_mut().clone_from(&plan.tenants);
-        self.pool.most_answer.set(plan.config.held());
+        self.pool.most_answer.set(plan.config.max_buffered_response());
         let before = std::mem::replace(&mut self.config, plan.config.clone());
         match (&before.nodes, &plan.config.nodes, &self.source) {
             (was, is, _) if was == is => {}
@@ -300,7 +302,7 @@
     }
 
     /// As many instances share its upstreams from now on, and this is its number among them.
-    pub fn reseat(&self, Seat { count, number }: Seat) {
+    pub fn reseat(&self, InstancePosition { count, number }: InstancePosition) {
         let settings =
             fs::Settings { balancers: count, balancer_index: number, ..self.settings.borrow().clone() };
         let learned: Vec<Option<fs::ClassId>> = (0..settings.classes.len()).map(Some).collect();
@@ -437,7 +439,9 @@
             Nodes::Sources(list, _) => &list[..],
             _ => &[],
         };
-        let registry = |origin: &&Origin| matches!(origin.place, Place::Etcd { .. } | Place::Consul { .. });
+        let registry = |origin: &&MembershipSource| {
+            matches!(origin.kind, SourceKind::Etcd { .. } | SourceKind::Consul { .. })
+        };
         list.iter().filter(registry).map(|origin| origin.name.as_str())
     }
 
--- a/sloeline/src/daemon/routes.rs
+++ b/sloeline/src/daemon/routes.rs
@@ -5,7 +5,7 @@
 
 use finchshift as fs;
 use hyper::header::HeaderName;
-use sloeline_config::model::{Config, RouteTo, Source as ToldBy};
+use sloeline_config::model::{Config, RouteConfig, ValueSource};
 use sloeline_http::routed::{ClassOf, Described, Pool, Routes, Service, Side, Source};
 use sloeline_routing::split::Split;
 use sloeline_routing::table::Table;
@@ -19,12 +19,12 @@
 /// Services that are made or taken apart between two looks at the clock.
 pub(super) const BATCH: usize = 64;
 
-fn told_by(source: &ToldBy) -> Result<Source, String> {
+fn told_by(source: &ValueSource) -> Result<Source, String> {
     Ok(match source {
-        ToldBy::Header(name) => Source::Header(header(name)?),
-        ToldBy::Query(name) => Source::Query(name.clone()),
-        ToldBy::Segment(at) => Source::Segment(*at),
-        ToldBy::Fixed(value) => Source::Fixed(value.clone()),
+        ValueSource::Header(name) => Source::Header(header(name)?),
+        ValueSource::Query(name) => Source::Query(name.clone()),
+        ValueSource::Segment(at) => Source::Segment(*at),
+        ValueSource::Fixed(value) => Source::Fixed(value.clone()),
     })
 }
 
@@ -46,15 +46,15 @@
     described: Option<Described>,
 }
 
-pub(super) fn leads(config: &Config, route: &RouteTo, operations: &Operations) -> Result<Leads, String> {
+pub(super) fn leads(config: &Config, route: &RouteConfig, operations: &Operations) -> Result<Leads, String> {
     let class = |name: &String| {
         let class = &config.classes.get(name).ok_or_else(|| format!("no class {name:?}"))?.class;
         let deadline = route.deadline.map_or(class.deadline, |d| d.min(class.deadline));
         Ok::<_, String>(ClassOf { name: name.clone(), effect: class.effect, deadline })
     };
-    let source = |s: &Option<ToldBy>| s.as_ref().map(told_by).transpose();
+    let source = |s: &Option<ValueSource>| s.as_ref().map(told_by).transpose();
     let sides = route.split.iter().map(|(pool, weight)| (pool.as_str(), *weight));
-    let narrow = route.operation.as_ref().map(|o| &o.narrow);
+    let narrow = route.operation.as_ref().map(|o| &o.restricted_class);
     let described = route.operation.as_ref().and_then(|o| {
         let operation = operations.get(&o.name)?;
         Some(Described { operation, narrow: route.classes.len() })
--- a/sloeline/src/describe.rs
+++ b/sloeline/src/describe.rs
@@ -4,7 +4,7 @@
 
 use finchshift::Effect;
 use serde_json::{Map, Value, json};
-use sloeline_config::model::{Config, RouteTo, Source};
+use sloeline_config::model::{Config, RouteConfig, ValueSource};
 use sloeline_routing::pattern::{ConditionSource, HostPattern, Predicate, Segment};
 
 /// Methods of a path item; CONNECT and others have no place in a description.
@@ -32,7 +32,7 @@
 }
 
 /// The template of a route, and its parameters; what follows a prefix is one more.
-fn template(route: &RouteTo) -> (String, Vec<String>) {
+fn template(route: &RouteConfig) -> (String, Vec<String>) {
     let (mut path, mut names) = (String::new(), Vec::new());
     for segment in &route.route.path.segments {
         path.push('/');
@@ -59,22 +59,24 @@
 }
 
 /// The key's parameter, and where it stands as the extension has it; none for a key in the path, which is there anyway.
-fn key(source: &Source, names: &[String], route: &RouteTo) -> Option<(String, Option<Value>)> {
+fn key(source: &ValueSource, names: &[String], route: &RouteConfig) -> Option<(String, Option<Value>)> {
     let text = || json!({"type": "string"});
     match source {
-        Source::Header(name) => {
+        ValueSource::Header(name) => {
             Some((format!("header:{name}"), Some(parameter(name, "header", true, text()))))
         }
-        Source::Query(name) => Some((format!("query:{name}"), Some(parameter(name, "query", true, text())))),
-        Source::Segment(at) => match route.route.path.segments.get(*at) {
+        ValueSource::Query(name) => {
+            Some((format!("query:{name}"), Some(parameter(name, "query", true, text()))))
+        }
+        ValueSource::Segment(at) => match route.route.path.segments.get(*at) {
             Some(Segment::Parameter(name)) if names.contains(name) => Some((format!("path:{name}"), None)),
             _ => None,
         },
-        Source::Fixed(_) => None,
+        ValueSource::Fixed(_) => None,
     }
 }
 
-fn operation(config: &Config, route: &RouteTo, method: &str) -> Value {
+fn operation(config: &Config, route: &RouteConfig, method: &str) -> Value {
     let (_, names) = template(route);
     let mut parameters: Vec<Value> =
         names.iter().map(|name| parameter(name, "path", true, json!({"type": "string"}))).collect();
@@ -115,7 +117,7 @@
         _ => _ = put("x-sloeline-effect", json!("unsafe")),
     }
     put("x-sloeline-body-limit", json!(format!("{}B", route.body_limit)));
-    if let Some(Source::Fixed(tenant)) = &route.tenant {
+    if let Some(ValueSource::Fixed(tenant)) = &route.tenant {
         put("x-sloeline-tenant", json!(tenant));
     }
     if let [only] = classes.as_slice() {
@@ -168,7 +170,7 @@
             return Err(format!("found {found}, expected one of {}", names.join(", ")));
         }
     };
-    let mut routes: Vec<&RouteTo> =
+    let mut routes: Vec<&RouteConfig> =
         config.routes.iter().filter(|r| r.listeners.iter().any(|l| l == listener)).collect();
     routes.sort_by(|a, b| a.route.name.cmp(&b.route.name));
     // Under one template, whatever its parameters are called: a description may not have both.
--- a/sloeline/src/explain.rs
+++ b/sloeline/src/explain.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use sloeline_config::model::{Config, RouteTo, Source};
+use sloeline_config::model::{Config, RouteConfig, ValueSource};
 use sloeline_routing::pattern::{FieldValue, Request};
 use sloeline_routing::table::{NoRoute, Table, Verdict};
 use sloeline_routing::target::Target;
@@ -37,7 +37,7 @@
     let _ = writeln!(text, "host {shown}, forwarded as {method} {}", target.path_and_query());
     let request = Request { method, target: &target, header: &header };
     for (name, listener) in &config.listeners {
-        let routes: Vec<&RouteTo> = config.routes.iter().filter(|r| r.listeners.contains(name)).collect();
+        let routes: Vec<&RouteConfig> = config.routes.iter().filter(|r| r.listeners.contains(name)).collect();
         let table = Table::new(routes.iter().map(|r| r.route.clone()).collect());
         let _ = writeln!(text, "listener {name} ({})", listener.address);
         if target.path.as_str() == listener.ready_path {
@@ -73,16 +73,16 @@
     Ok(text)
 }
 
-fn source(source: &Source) -> String {
+fn source(source: &ValueSource) -> String {
     match source {
-        Source::Header(name) => format!("header {name}"),
-        Source::Query(name) => format!("query parameter {name}"),
-        Source::Segment(at) => format!("path segment {}", at + 1),
-        Source::Fixed(value) => format!("always {value:?}"),
+        ValueSource::Header(name) => format!("header {name}"),
+        ValueSource::Query(name) => format!("query parameter {name}"),
+        ValueSource::Segment(at) => format!("path segment {}", at + 1),
+        ValueSource::Fixed(value) => format!("always {value:?}"),
     }
 }
 
-fn chosen(config: &Config, route: &RouteTo, target: &Target, text: &mut String) {
+fn chosen(config: &Config, route: &RouteConfig, target: &Target, text: &mut String) {
     let _ = writeln!(text, "  route {:?} ({})", route.route.name, route.route.path);
     match &route.split[..] {
         [(pool, _)] => {
--- a/sloeline/src/observed.rs
+++ b/sloeline/src/observed.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 
 use hyper::header::{CONTENT_TYPE, HeaderName, LOCATION};
-use sloeline_config::described::Open;
-use sloeline_config::model::{Config, OperationOf};
+use sloeline_config::descriptions::DescriptionLoader;
+use sloeline_config::model::{Config, RouteOperation};
 use sloeline_descriptions::behaviour::{self, Behaviour, ODDITIES};
 use sloeline_descriptions::folder::Folder;
 use sloeline_descriptions::refs::Files;
@@ -21,7 +21,7 @@
 /// The folder of a configuration.
 pub struct Beside(pub PathBuf);
 
-impl Open for Beside {
+impl DescriptionLoader for Beside {
     fn open(&self, path: &str) -> Result<(Box<dyn Files>, String), String> {
         let file = self.0.join(path);
         let name = file.file_name().and_then(|n| n.to_str()).map(str::to_owned);
@@ -94,7 +94,8 @@
     pub fn plan(&self, config: &Config, seed: u64) -> Operations {
         let mut next = self.next;
         let mut of = HashMap::new();
-        for OperationOf { name, declared, .. } in config.routes.iter().filter_map(|r| r.operation.as_ref()) {
+        for RouteOperation { name, declared, .. } in config.routes.iter().filter_map(|r| r.operation.as_ref())
+        {
             let before = self.of.get(name);
             let observed = match before {
                 Some(before) if before.behaviour.borrow().declared() == declared => before.clone(),
--- a/sloeline/src/origins.rs
+++ b/sloeline/src/origins.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use finchshift::Micros;
-use sloeline_config::model::{self, Doubt, Instance, Nodes, Place};
+use sloeline_config::model::{self, Instance, MembershipGuard, Nodes, SourceKind};
 use sloeline_membership::doubt::Rules;
 use sloeline_membership::follow::Origin;
 use sloeline_membership::{announce, consul, dns, etcd, view, xds};
@@ -12,23 +12,33 @@
 const APART: Micros = 100_000;
 
 /// The rules of doubt.
-pub fn rules(doubt: &Doubt) -> Rules {
+pub fn rules(doubt: &MembershipGuard) -> Rules {
     Rules {
-        most_lost: doubt.most_lost,
+        most_lost: doubt.max_lost_share,
         window: doubt.window,
-        hold: doubt.hold,
-        accept: doubt.accept,
-        most_members: doubt.most_members,
+        hold: doubt.hold_time,
+        accept: doubt.accept_losses,
+        most_members: doubt.max_members,
     }
 }
 
 /// Sources with their names, in the order of their precedence; paths are seen from the folder.
-pub fn origins(list: &[model::Origin], instance: &Instance, folder: &Path) -> Vec<(String, Origin)> {
+pub fn origins(
+    list: &[model::MembershipSource],
+    instance: &Instance,
+    folder: &Path,
+) -> Vec<(String, Origin)> {
     let instances = instance.count;
-    let origin = |o: &model::Origin| {
-        let (rate, answer) = (o.fleet_calls, o.answer);
-        let origin = match &o.place {
-            Place::Etcd { endpoints, prefix, check, patience, believe_after } => {
+    let origin = |o: &model::MembershipSource| {
+        let (rate, answer) = (o.fleet_call_rate, o.response_timeout);
+        let origin = match &o.kind {
+            SourceKind::Etcd {
+                endpoints,
+                prefix,
+                check_interval: check,
+                max_watch_lag: patience,
+                acceptance_delay: believe_after,
+            } => {
                 let settings = etcd::Settings {
                     prefix: prefix.clone(),
                     endpoints: endpoints.len(),
@@ -41,7 +51,13 @@
                 };
                 Origin::Etcd(settings, endpoints.clone())
             }
-            Place::Consul { endpoints, service, wait, stale, most_stale } => {
+            SourceKind::Consul {
+                endpoints,
+                service,
+                poll_wait: wait,
+                allow_stale: stale,
+                max_staleness: most_stale,
+            } => {
                 let settings = consul::Settings {
                     service: service.clone(),
                     endpoints: endpoints.len(),
@@ -55,7 +71,13 @@
                 };
                 Origin::Consul(settings, endpoints.clone())
             }
-            Place::Xds { endpoints, cluster, delta, renew, believe_after } => {
+            SourceKind::Xds {
+                endpoints,
+                cluster,
+                incremental: delta,
+                stream_lifetime: renew,
+                acceptance_delay: believe_after,
+            } => {
                 let settings = xds::Settings {
                     cluster: cluster.clone(),
                     delta: *delta,
@@ -69,7 +91,7 @@
                 };
                 Origin::Xds(settings, endpoints.clone())
             }
-            Place::Dns { name, port, zone, servers, least, most } => {
+            SourceKind::Dns { name, port, zone, servers, min_ttl: least, max_ttl: most } => {
                 let name = match port {
                     Some(port) => dns::Name::Addresses(name.clone(), *port),
                     None => dns::Name::Services(name.clone()),
@@ -78,8 +100,8 @@
                 let settings = dns::Settings { name, zone, instances, rate, least, most, answer };
                 Origin::Dns(settings, servers.clone())
             }
-            Place::File(path) => Origin::File(folder.join(path)),
-            Place::Registry(address) => Origin::List(*address),
+            SourceKind::File(path) => Origin::File(folder.join(path)),
+            SourceKind::Registry(address) => Origin::List(*address),
         };
         (o.name.clone(), origin)
     };
@@ -112,7 +134,7 @@
         lease: wanted.lease,
         endpoints: wanted.endpoints.len(),
         instances: config.instance.count,
-        rate: wanted.fleet_calls,
-        answer: wanted.answer,
+        rate: wanted.fleet_call_rate,
+        answer: wanted.response_timeout,
     }
 }
--- a/sloeline/tests/bulkhead.rs
+++ b/sloeline/tests/bulkhead.rs
@@ -148,12 +148,12 @@
             .replace("nodes = ", "answer_limit = \"16KiB\"\nnodes = ")
             .replace("[[route]]", "[[route]]\nbody_limit = \"112KiB\"");
         let config = load(&text);
-        let division = sloeline_config::check::division(&config).expect("there is enough");
-        let (own, reserve) = (division.bodies.0[1], division.bodies.1);
+        let division = sloeline_config::check::divide_resources(&config).expect("there is enough");
+        let (own, reserve) = (division.body_bytes.0[1], division.body_bytes.1);
         let each = 128 << 10;
         // The most that it may borrow leaves as much.
         let most = (own + reserve / 2) / each;
-        assert!((4..20).contains(&most) && most < division.open.0[1], "{most} of {division:?}");
+        assert!((4..20).contains(&most) && most < division.open_requests.0[1], "{most} of {division:?}");
         let daemon = start(&text).await;
         let to = public(&daemon);
         hung.now(Does::Hang);
@@ -195,10 +195,11 @@
         };
         let (first, second) = (nodes("first"), nodes("second"));
         let text = few(&[("first", &first), ("second", &second)]);
-        let division = sloeline_config::check::division(&load(&text)).expect("there is enough");
-        let ((own, reserve), open) = ((division.upstreams.0[0], division.upstreams.1), |nodes: &[Node]| {
-            nodes.iter().map(Node::open).sum::<usize>()
-        });
+        let division = sloeline_config::check::divide_resources(&load(&text)).expect("there is enough");
+        let ((own, reserve), open) =
+            ((division.upstream_connections.0[0], division.upstream_connections.1), |nodes: &[Node]| {
+                nodes.iter().map(Node::open).sum::<usize>()
+            });
         let daemon = start(&text).await;
         let to = public(&daemon);
         let slowly = Does::Serve(Duration::from_millis(200));
--- a/sloeline/tests/described.rs
+++ b/sloeline/tests/described.rs
@@ -10,7 +10,7 @@
 use rig::*;
 use sloeline::daemon::Daemon;
 use sloeline::describe::describe;
-use sloeline_config::described::Open;
+use sloeline_config::descriptions::DescriptionLoader;
 use sloeline_config::model::Config;
 use sloeline_descriptions::check::{Promises, check};
 use sloeline_descriptions::effect::Effect;
@@ -29,7 +29,7 @@
     }
 }
 
-impl Open for Memory {
+impl DescriptionLoader for Memory {
     fn open(&self, path: &str) -> Result<(Box<dyn Files>, String), String> {
         Ok((Box::new(self.clone()), path.to_owned()))
     }
