--- a/config/src/check.rs
+++ b/config/src/check.rs
@@ -1,4 +1,4 @@
-//! What only shows when all sections are seen together.
+//! Checks that need several sections of the configuration at once, and the division of resources.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,67 +14,72 @@
 
 /// Methods that change nothing by their definition (RFC 9110 section 9.2.1).
 const SAFE_METHODS: [&str; 3] = ["GET", "HEAD", "OPTIONS"];
-/// Descriptors for the runtime, signals, standard streams and files.
-const RESERVED: usize = 40;
-/// Part of the other descriptors that callers may hold; upstreams have the rest.
-const CALLERS: f64 = 0.55;
-/// Part of the memory that the bodies of open requests and their answers may fill.
-const BODIES: f64 = 0.4;
+/// File descriptors reserved for the runtime, signals, standard streams and files.
+const RESERVED_DESCRIPTORS: usize = 40;
+/// Share of the unreserved file descriptors for callers' connections; connections to upstreams have the rest.
+const CALLER_CONNECTION_SHARE: f64 = 0.55;
+/// Share of the memory budget for the bodies of open requests and their responses.
+const BODY_MEMORY_SHARE: f64 = 0.4;
 
-/// How descriptors and memory are divided.
+/// How connections, open requests and memory are divided among listeners and pools.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResourceDivision {
-    /// Connections of callers, for each listener.
+    /// Maximum number of connections of callers for each listener, in the order of the names of the listeners.
     pub caller_connections: Vec<usize>,
-    /// Connections to upstreams: each pool's own, and the common reserve.
+    /// Connections to upstreams: the guaranteed number of each pool, in the order of the pools' names, and the shared
+    /// reserve.
     pub upstream_connections: (Vec<usize>, usize),
-    /// Open requests, the same.
+    /// Open requests: the guaranteed number of each pool, in the order of the pools' names, and the shared reserve.
     pub open_requests: (Vec<usize>, usize),
-    /// Bytes of bodies and answers, the same.
+    /// Bytes for request and response bodies: the guaranteed number of each pool, in the order of the pools' names, and
+    /// the shared reserve.
     pub body_bytes: (Vec<usize>, usize),
 }
 
-/// Divides what the process may take up; the error says what is short.
+/// Divides connections, open requests and memory among listeners and pools. The error names the resource that is too
+/// small.
 pub fn divide_resources(config: &Config) -> Result<ResourceDivision, String> {
     let limits = &config.limits;
-    // Registries and watched files have a few each.
-    let reserved = RESERVED + config.listeners.len() + 2 * config.pools.len().min(limits.descriptors / 8);
+    // Each registry or watched file uses a few descriptors.
+    let reserved =
+        RESERVED_DESCRIPTORS + config.listeners.len() + 2 * config.pools.len().min(limits.descriptors / 8);
     let free = limits.descriptors.saturating_sub(reserved);
-    let callers = (free as f64 * CALLERS) as usize;
-    let fixed: usize = config.listeners.values().filter_map(|l| l.max_connections).sum();
-    let open_ended = config.listeners.values().filter(|l| l.max_connections.is_none()).count();
-    let each = callers.saturating_sub(fixed).checked_div(open_ended).unwrap_or(0);
-    if fixed > callers || open_ended > 0 && each == 0 {
+    let caller_total = (free as f64 * CALLER_CONNECTION_SHARE) as usize;
+    let configured: usize = config.listeners.values().filter_map(|l| l.max_connections).sum();
+    let unlimited_count = config.listeners.values().filter(|l| l.max_connections.is_none()).count();
+    let equal_share = caller_total.saturating_sub(configured).checked_div(unlimited_count).unwrap_or(0);
+    if configured > caller_total || unlimited_count > 0 && equal_share == 0 {
         return Err(format!(
-            "{callers} connections of callers for {} listeners, of which {fixed} are asked for by name",
+            "{caller_total} connections of callers for {} listeners that request {configured} explicitly",
             config.listeners.len()
         ));
     }
     let listeners: Vec<usize> =
-        config.listeners.values().map(|l| l.max_connections.unwrap_or(each)).collect();
+        config.listeners.values().map(|l| l.max_connections.unwrap_or(equal_share)).collect();
     let weights: Vec<f64> = config.pools.values().map(|p| p.weight).collect();
-    let share = |whole: usize, what: &str, least: usize| {
-        divide(whole, &weights, least)
-            .map_err(|needed| format!("{whole} {what} for pools that need {needed}"))
+    let share = |total: usize, resource: &str, min_share: usize| {
+        divide(total, &weights, min_share)
+            .map_err(|needed| format!("{total} {resource} for pools that need {needed}"))
     };
-    let taken = listeners.iter().sum();
+    let connection_total = listeners.iter().sum();
     Ok(ResourceDivision {
-        upstream_connections: share(free - callers, "connections to upstreams", 1)?,
-        open_requests: share(taken, "open requests", 1)?,
-        body_bytes: share((limits.memory as f64 * BODIES) as usize, "bytes for bodies", 0)?,
+        upstream_connections: share(free - caller_total, "connections to upstreams", 1)?,
+        open_requests: share(connection_total, "open requests", 1)?,
+        body_bytes: share((limits.memory as f64 * BODY_MEMORY_SHARE) as usize, "bytes for bodies", 0)?,
         caller_connections: listeners,
     })
 }
 
-/// Notes all that contradicts itself.
+/// Reports contradictions between sections of the configuration.
 pub fn check(config: &Config, problems: &Problems<'_>) {
-    addresses(config, problems);
+    check_listener_addresses(config, problems);
     for (name, class) in &config.classes {
         let asserted = class.assertions.iter().any(|a| a == "deadline-under-aim");
         if class.class.deadline < class.class.latency_target && !asserted {
-            let (found, expected) = (span(class.class.deadline), span(class.class.latency_target));
+            let (found, expected) =
+                (format_duration(class.class.deadline), format_duration(class.class.latency_target));
             let expected = format!("at least the aim, {expected}");
-            problems.dangerous(
+            problems.assertable_error(
                 &class.span,
                 &format!("class.{name}.deadline"),
                 found,
@@ -82,63 +87,67 @@
                 "deadline-under-aim",
             );
         }
-        let given = |r: &RouteConfig| {
+        let uses_class = |r: &RouteConfig| {
             r.classes.contains(name) || r.operation.as_ref().is_some_and(|o| o.restricted_class == *name)
         };
-        if !config.routes.iter().any(given) {
-            problems.warn(&class.span, &format!("class.{name}"), "no route that gives it", "one");
+        if !config.routes.iter().any(uses_class) {
+            problems.warning(&class.span, &format!("class.{name}"), "no route that uses it", "at least one");
         }
     }
     for (name, pool) in &config.pools {
         if !config.routes.iter().any(|r| r.split.iter().any(|(p, _)| p == name)) {
-            problems.warn(&pool.span, &format!("pool.{name}"), "no route that leads to it", "one");
+            problems.warning(&pool.span, &format!("pool.{name}"), "no route that uses it", "at least one");
         }
     }
     let mut names: BTreeMap<&str, &RouteConfig> = BTreeMap::new();
     for route in &config.routes {
-        one_route(config, route, problems);
+        check_route(config, route, problems);
         if let Some(before) = names.insert(&route.route.name, route) {
             let found = format!("the name {:?} of line {}", route.route.name, problems.line(&before.span));
-            problems.add(&route.span, "route.name", found, "names that stand once");
+            problems.error(&route.span, "route.name", found, "a unique name");
         }
     }
     for (name, listener) in &config.listeners {
-        let on: Vec<&RouteConfig> = config.routes.iter().filter(|r| r.listeners.contains(name)).collect();
-        if on.is_empty() {
-            problems.add(&listener.span, &format!("listener.{name}"), "no route", "at least one");
+        let routes_here: Vec<&RouteConfig> =
+            config.routes.iter().filter(|r| r.listeners.contains(name)).collect();
+        if routes_here.is_empty() {
+            problems.error(&listener.span, &format!("listener.{name}"), "no route", "at least one");
         }
-        contradictions(&on, problems);
-        reserved(name, &listener.ready_path, &on, problems);
+        check_route_conflicts(&routes_here, problems);
+        check_ready_path(name, &listener.ready_path, &routes_here, problems);
     }
     match divide_resources(config) {
         Err(found) => {
             let expected = "larger limits, or fewer listeners and pools";
-            problems.add(&config.limits.span, "limits", found, expected);
+            problems.error(&config.limits.span, "limits", found, expected);
         }
-        Ok(division) => bodies(config, &division, problems),
+        Ok(division) => check_body_limits(config, &division, problems),
     }
 }
 
-fn span(micros: u64) -> String {
+/// Formats a duration in milliseconds.
+fn format_duration(micros: u64) -> String {
     format!("{}ms", micros as f64 / 1000.0)
 }
 
-fn addresses(config: &Config, problems: &Problems<'_>) {
+/// Reports listeners that share an address.
+fn check_listener_addresses(config: &Config, problems: &Problems<'_>) {
     let mut seen = BTreeMap::new();
     for (name, listener) in &config.listeners {
-        // Port 0 is another port each time.
+        // Port 0 is a different port each time.
         if listener.address.port() == 0 {
             continue;
         }
         if let Some(other) = seen.insert(listener.address, name) {
             let found = format!("{}, the address of {other:?}", listener.address);
             let key = format!("listener.{name}.address");
-            problems.add(&listener.span, &key, found, "an address of its own");
+            problems.error(&listener.span, &key, found, "an address that no other listener uses");
         }
     }
 }
 
-fn one_route(config: &Config, route: &RouteConfig, problems: &Problems<'_>) {
+/// Reports contradictions within one route and between the route and its classes.
+fn check_route(config: &Config, route: &RouteConfig, problems: &Problems<'_>) {
     let name = &route.route.name;
     let key = |key: &str| format!("route {name:?}: {key}");
     let asserted = |what: &str| route.assertions.iter().any(|a| a == what);
@@ -150,98 +159,115 @@
         let any = route.route.methods.is_empty();
         if class.effect == Effect::Safe && (any || !writes.is_empty()) && !asserted("write-method-is-safe") {
             let methods = if any { "all methods".to_owned() } else { writes.join(", ") };
-            let found = format!("{methods} in the class {class_name:?}, which may be repeated at will");
+            let found =
+                format!("{methods} in the class {class_name:?}, whose requests may be retried without limit");
             let expected = "method = [\"GET\", \"HEAD\"] or a class that is not safe";
-            problems.dangerous(&route.span, &key("method"), found, expected, "write-method-is-safe");
+            problems.assertable_error(&route.span, &key("method"), found, expected, "write-method-is-safe");
         }
         match (class.effect, &route.key) {
             (Effect::Keyed { .. }, None) => {
                 let found = format!("no key for the keyed class {class_name:?}");
-                let expected = "where the key stands, such as \"header:Idempotency-Key\"";
-                problems.add(&route.span, &key("key"), found, expected);
+                let expected = "where a request contains its key, such as \"header:Idempotency-Key\"";
+                problems.error(&route.span, &key("key"), found, expected);
             }
             (Effect::Keyed { .. }, Some(crate::model::ValueSource::Fixed(value))) => {
                 let found = format!("the same key {value:?} for all requests");
-                problems.add(&route.span, &key("key"), found, "a key that differs from request to request");
+                problems.error(&route.span, &key("key"), found, "a key that differs from request to request");
             }
             _ => {}
         }
         if route.deadline.is_some_and(|d| d < class.latency_target) && !asserted("deadline-under-aim") {
-            let found = span(route.deadline.unwrap_or(0));
-            let expected = format!("at least the aim of {class_name:?}, {}", span(class.latency_target));
-            problems.dangerous(&route.span, &key("deadline"), found, expected, "deadline-under-aim");
+            let found = format_duration(route.deadline.unwrap_or(0));
+            let expected =
+                format!("at least the aim of {class_name:?}, {}", format_duration(class.latency_target));
+            problems.assertable_error(&route.span, &key("deadline"), found, expected, "deadline-under-aim");
         }
     }
     let sum: u64 = route.split.iter().map(|(_, w)| u64::from(*w)).sum();
     if sum == 0 {
-        problems.add(&route.span, &key("split"), "weights that are all 0", "one that is more");
+        problems.error(&route.span, &key("split"), "weights that are all 0", "at least one weight above 0");
     } else if sum != u64::from(TOTAL_WEIGHT) && !asserted("split-sum") {
         let found = format!("weights that add up to {sum}");
-        problems.dangerous(&route.span, &key("split"), found, format!("{TOTAL_WEIGHT} in all"), "split-sum");
+        problems.assertable_error(
+            &route.span,
+            &key("split"),
+            found,
+            format!("{TOTAL_WEIGHT} in all"),
+            "split-sum",
+        );
     }
     if route.sticky.is_some() && route.split.len() < 2 {
-        problems.warn(&route.span, &key("sticky"), "one pool", "a split, or no sticky");
+        problems.warning(&route.span, &key("sticky"), "one pool", "a split, or no sticky");
     }
 }
 
-/// What routes of one listener say against each other.
-fn contradictions(on: &[&RouteConfig], problems: &Problems<'_>) {
-    let routes: Vec<Route> = on.iter().map(|r| r.route.clone()).collect();
-    let name = |at: usize| format!("{:?} (line {})", on[at].route.name, problems.line(&on[at].span));
-    let asserts = |at: usize, what: &str| on[at].assertions.iter().any(|a| a == what);
+/// Reports overlapping, contradictory and unreachable routes among the routes of one listener.
+fn check_route_conflicts(routes_here: &[&RouteConfig], problems: &Problems<'_>) {
+    let routes: Vec<Route> = routes_here.iter().map(|r| r.route.clone()).collect();
+    let name = |at: usize| {
+        format!("{:?} (line {})", routes_here[at].route.name, problems.line(&routes_here[at].span))
+    };
+    let asserts = |at: usize, what: &str| routes_here[at].assertions.iter().any(|a| a == what);
     for finding in analyze(&routes) {
         match finding {
             Finding::Overlap(a, b) if !(asserts(a, "overlap") && asserts(b, "overlap")) => {
                 let found = format!("requests that fit {} as well, and neither goes first", name(a));
-                let expected = "another method, path or condition, or one condition more on one of the two";
-                let key = format!("route {:?}", on[b].route.name);
-                problems.dangerous(&on[b].span, &key, found, expected, "overlap");
+                let expected = "another method, path or condition, or an additional condition on one route";
+                let key = format!("route {:?}", routes_here[b].route.name);
+                problems.assertable_error(&routes_here[b].span, &key, found, expected, "overlap");
             }
             Finding::Contradiction(at, i, j) if !asserts(at, "unreachable") => {
-                let conditions = &on[at].route.conditions;
+                let conditions = &routes_here[at].route.conditions;
                 let found = format!("{} together with {}", conditions[i], conditions[j]);
-                let key = format!("route {:?}", on[at].route.name);
+                let key = format!("route {:?}", routes_here[at].route.name);
                 let expected = "conditions that one request can meet";
-                problems.dangerous(&on[at].span, &key, found, expected, "unreachable");
+                problems.assertable_error(&routes_here[at].span, &key, found, expected, "unreachable");
             }
             Finding::Shadowed(at, by) if !asserts(at, "unreachable") => {
                 let by: BTreeSet<String> = by.into_iter().map(name).collect();
                 let by = by.into_iter().collect::<Vec<_>>().join(", ");
-                let found = format!("that all its requests go to {by}");
-                let key = format!("route {:?}", on[at].route.name);
-                problems.dangerous(&on[at].span, &key, found, "requests of its own", "unreachable");
+                let found = format!("all its requests go to {by}");
+                let key = format!("route {:?}", routes_here[at].route.name);
+                problems.assertable_error(
+                    &routes_here[at].span,
+                    &key,
+                    found,
+                    "requests that no other route takes first",
+                    "unreachable",
+                );
             }
             _ => {}
         }
     }
 }
 
-/// Routes for the path that the listener itself answers.
-fn reserved(listener: &str, ready: &str, on: &[&RouteConfig], problems: &Problems<'_>) {
+/// Reports routes for the readiness path, which the listener answers itself.
+fn check_ready_path(listener: &str, ready: &str, routes_here: &[&RouteConfig], problems: &Problems<'_>) {
     let Ok(ready_path) = Path::parse(ready) else { return };
-    for route in on {
+    for route in routes_here {
         let path = &route.route.path;
         let literal = path.parameter_count() == 0 && !path.prefix;
         if literal && path.matches(&ready_path) && !route.assertions.iter().any(|a| a == "unreachable") {
             let found = format!("{ready}, which listener {listener:?} answers itself");
             let key = format!("route {:?}: path", route.route.name);
-            problems.dangerous(&route.span, &key, found, "another path or ready_path", "unreachable");
+            problems.assertable_error(&route.span, &key, found, "another path or ready_path", "unreachable");
         }
     }
 }
 
-fn bodies(config: &Config, division: &ResourceDivision, problems: &Problems<'_>) {
+/// Reports pools whose memory is too small for the largest body of a route and its buffered response.
+fn check_body_limits(config: &Config, division: &ResourceDivision, problems: &Problems<'_>) {
     let (own, reserve) = &division.body_bytes;
     for (at, (name, pool)) in config.pools.iter().enumerate() {
-        // What a pool can have when it is alone: its own, and half of the reserve.
-        let most = own[at] + reserve / 2;
+        // The most a pool can use while other pools are idle: its guaranteed part and half of the reserve.
+        let max_bytes = own[at] + reserve / 2;
         let largest = config.routes.iter().filter(|r| r.split.iter().any(|(p, _)| p == name));
         let Some(largest) = largest.max_by_key(|r| r.body_limit) else { continue };
         let needed = largest.body_limit.saturating_add(pool.max_buffered_response());
-        if needed > most {
+        if needed > max_bytes {
             let found = format!("{needed} bytes for one body and its answer in pool {name:?}");
-            let expected = format!("at most {most}, its part of limits.memory");
-            problems.add(
+            let expected = format!("at most {max_bytes}, the part of limits.memory for this pool");
+            problems.error(
                 &largest.span,
                 &format!("route {:?}: body_limit", largest.route.name),
                 found,
--- a/config/src/lib.rs
+++ b/config/src/lib.rs
@@ -1,7 +1,7 @@
 //! The daemon's configuration: TOML, read and checked as a whole, without I/O.
 //!
-//! [`load`] finds every error at once, each with its line, its key, what was found and what was expected. Unknown
-//! keys are errors. What is dangerous is an error unless it is asserted by name, see [`model::ASSERTIONS`].
+//! [`load`] reports every error in one pass, each with its line, its key, what was found and what was expected. Unknown
+//! keys are errors. A dangerous setting is an error unless the operator asserts it by name, see [`model::ASSERTIONS`].
 
 pub mod check;
 pub mod descriptions;
@@ -16,13 +16,15 @@
 use model::Config;
 use problem::{Problem, Problems, Severity};
 
-/// Reads and checks a configuration; `descriptors` is what the process may hold where the text does not say.
-/// With it come warnings; the error holds all problems, warnings among them, in the order of their lines.
+/// Reads and checks a configuration without interface descriptions. `descriptors` is the number of file descriptors
+/// that the process may open; it is the default of `limits.descriptors` and its upper bound.
+///
+/// Returns the configuration with its warnings, or, if there is an error, all errors and warnings sorted by line.
 pub fn load(text: &str, descriptors: usize) -> Result<(Config, Vec<Problem>), Vec<Problem>> {
     load_with(text, descriptors, &NoDescriptions)
 }
 
-/// The same, with the descriptions that it names.
+/// Reads and checks a configuration like [`load`], and loads the interface descriptions that it names from `open`.
 pub fn load_with(
     text: &str,
     descriptors: usize,
@@ -31,9 +33,9 @@
     let problems = Problems::new(text);
     let (table, errors) = toml::de::DeTable::parse_recoverable(text);
     for error in &errors {
-        problems.syntax(error.span(), error.message());
+        problems.syntax_error(error.span(), error.message());
     }
-    // What can't be parsed is left out of the table: what its absence leads to would mislead.
+    // The table lacks the parts that cannot be parsed, so checking it would report misleading follow-up errors.
     if !errors.is_empty() {
         return Err(problems.into_sorted());
     }
--- a/config/src/model.rs
+++ b/config/src/model.rs
@@ -1,4 +1,4 @@
-//! What a configuration says, once it is read.
+//! The configuration model that the readers fill in and the daemon uses.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,79 +9,81 @@
 
 use crate::problem::Span;
 
-/// What can be asserted in a route, a class or a split, and what it says.
+/// KnownNames that `assert` accepts on a route or class, each with the statement that the operator confirms by it. The
+/// matching error is then not reported.
 pub const ASSERTIONS: [(&str, &str); 5] = [
     ("write-method-is-safe", "on a route: a method other than GET, HEAD and OPTIONS changes nothing"),
-    ("overlap", "on both routes: the one whose name comes first in the alphabet goes first"),
-    ("unreachable", "on a route: that no request reaches it is known"),
-    ("deadline-under-aim", "on a route or class: its callers leave before the aim"),
+    ("overlap", "on both routes: the route whose name sorts first takes precedence"),
+    ("unreachable", "on a route: it is intended that no request reaches it"),
+    ("deadline-under-aim", "on a route or class: its callers give up before the latency target (aim)"),
     ("split-sum", "on a route: the weights of its split are relative, they need not add up to 100"),
 ];
 
-/// Everything.
+/// The whole configuration of one daemon.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// This instance.
+    /// Identity of this instance: name, zone and position in the fleet.
     pub instance: Instance,
-    /// What the process may take up.
+    /// Limits on the file descriptors, memory and shutdown time of the process.
     pub limits: Limits,
-    /// What background work may take up.
+    /// CPU budget of background work.
     pub work: Work,
-    /// Operators' calls.
+    /// How operators reach the daemon: the control socket and signed calls.
     pub control: Control,
-    /// What is told of what happens.
+    /// Format, levels and rate limits of the log.
     pub log: Log,
-    /// The other instances; none for each by itself.
+    /// Communication with the other instances. `None` if this instance works alone.
     pub fleet: Option<Fleet>,
-    /// Where this instance is announced, if anywhere.
+    /// Registration of this instance in etcd. `None` if it is not registered.
     pub announce: Option<Announce>,
-    /// Where callers connect.
+    /// Listeners that accept callers' connections, by name.
     pub listeners: BTreeMap<String, Listener>,
-    /// Classes of requests.
+    /// Request classes (effect, latency target, deadline), by name.
     pub classes: BTreeMap<String, ClassConfig>,
-    /// Tenants.
+    /// Shares and quotas of tenants, by the tenant's name.
     pub tenants: BTreeMap<String, Tenant>,
-    /// Pools of upstreams.
+    /// Pools of upstreams, by name.
     pub pools: BTreeMap<String, Pool>,
-    /// Descriptions of interfaces.
+    /// Interface descriptions (OpenAPI documents), by name.
     pub descriptions: BTreeMap<String, Description>,
-    /// Routes, in the order of the text, then those of descriptions.
+    /// Routes: first those written in the configuration, in its order, then those generated from descriptions.
     pub routes: Vec<RouteConfig>,
 }
 
-/// `[fleet]`
+/// `[fleet]`: communication with the other instances over UDP.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
-    /// Where it listens, on UDP.
+    /// UDP address on which this instance listens for fleet messages.
     pub address: SocketAddr,
-    /// Where others reach it, if not there.
+    /// UDP address under which other instances reach this one, if it differs from `address`.
     pub announced_address: Option<SocketAddr>,
-    /// Some of the others.
+    /// Addresses of other instances to contact first when joining the fleet.
     pub seeds: Vec<SocketAddr>,
-    /// As many instances as there may be.
+    /// Maximum number of instances in the fleet.
     pub max_instances: u32,
-    /// From one question to the next.
+    /// Interval between two probes of other instances.
     pub probe_period: Micros,
-    /// Bytes that may be sent each second.
+    /// Maximum number of bytes of fleet messages sent per second.
     pub bytes_per_second: usize,
-    /// The key that is signed with.
+    /// Name of the key that signs outgoing messages; one of `keys`.
     pub signing_key: String,
-    /// All keys that are heard, and the files in which they stand, from the configuration's folder.
+    /// Keys accepted on incoming messages: the key's name and the path of its file, relative to the configuration's
+    /// folder.
     pub keys: BTreeMap<String, String>,
 }
 
-/// `[log]`
+/// `[log]`: format, levels and rate limits of the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Log {
-    /// An object a line, not text.
+    /// Whether each log line is a JSON object instead of plain text.
     pub json: bool,
-    /// What is told: `error`, `warn`, `info`, `debug` or `trace`.
+    /// Least severe level that is logged: `error`, `warn`, `info`, `debug` or `trace`.
     pub level: String,
-    /// The same by area.
+    /// Log level by area; overrides `level` in that area.
     pub levels: BTreeMap<String, String>,
-    /// Of one event about one thing, so many at once.
+    /// How many log lines for the same event and subject may be written in a burst.
     pub burst: f64,
-    /// And so many a second.
+    /// Log lines per second for the same event and subject after the burst.
     pub rate: f64,
 }
 
@@ -91,212 +93,217 @@
     }
 }
 
-/// `[control]`; nothing of it for no operators' calls.
+/// `[control]`: how operators reach the daemon. With neither socket nor address, operator calls are disabled.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Control {
-    /// The path of the Unix socket, from the configuration's folder.
+    /// Path of the Unix control socket, relative to the configuration's folder.
     pub socket: Option<String>,
-    /// The file of orders, from the same folder; without one they end with the process.
+    /// File that persists operators' orders, relative to the configuration's folder. Without it, orders end with the
+    /// process.
     pub orders_file: Option<String>,
-    /// An address for signed calls.
+    /// TCP address that accepts signed operator calls.
     pub address: Option<SocketAddr>,
-    /// Those who may call there.
+    /// Keys that may sign operator calls, by name.
     pub keys: BTreeMap<String, ControlKey>,
 }
 
-/// `[control.key.NAME]`
+/// `[control.key.NAME]`: a key for signed operator calls.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControlKey {
-    /// The file in which it stands, from the configuration's folder.
+    /// Path of the key file, relative to the configuration's folder.
     pub file: String,
-    /// It is for orders too, not for asking only.
+    /// Whether the key may sign orders as well as queries.
     pub allows_orders: bool,
 }
 
-/// `[instance]`
+/// `[instance]`: identity of this instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Instance {
-    /// Its name in logs.
+    /// Name of the instance in logs.
     pub name: String,
-    /// The zone that it is in.
+    /// Zone that the instance runs in.
     pub zone: String,
-    /// Its number among the instances, from 0.
+    /// Index of the instance among all instances, from 0.
     pub number: u32,
-    /// How many instances send to the same upstreams.
+    /// Number of instances that send to the same upstreams.
     pub count: u32,
 }
 
-/// An instance's place among all that share its upstreams.
+/// Position of an instance among all instances that share its upstreams.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InstancePosition {
-    /// How many they are, one at the least.
+    /// Number of instances, at least 1.
     pub count: u32,
-    /// Its number among them, from 0, under the count. No two should have one number: their turns would fall together.
+    /// Index of the instance, from 0 and less than `count`. Each instance needs an index of its own; instances with
+    /// the same index would take their turns at the same time.
     pub number: u32,
 }
 
 impl Instance {
-    /// Its place as the configuration has it.
+    /// Position of the instance as configured by `number` and `count`.
     pub fn position(&self) -> InstancePosition {
         InstancePosition { count: self.count, number: self.number }
     }
 }
 
-/// `[limits]`
+/// `[limits]`: what the process may use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Descriptors that the process may hold.
+    /// Maximum number of open file descriptors.
     pub descriptors: usize,
-    /// Memory, in bytes.
+    /// Memory budget, in bytes.
     pub memory: usize,
-    /// From the order to stop until the last answer; none for the longest deadline and half a second.
+    /// Maximum time from the order to stop until the last response. `None` means the longest deadline plus half a
+    /// second.
     pub stop_timeout: Option<Micros>,
-    /// Where it stands.
+    /// Where the section stands in the text.
     pub span: Span,
 }
 
-/// `[work]`
+/// `[work]`: CPU budget of background work.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Work {
-    /// The part of a core that background work may use while it holds up no request.
+    /// Share of a core, up to 1, that background work may use as long as it delays no request.
     pub cpu_share: f64,
-    /// How long a turn of it should last.
+    /// Target duration of one slice of background work.
     pub time_slice: Micros,
 }
 
-/// `[listener.NAME]`
+/// `[listener.NAME]`: an address that accepts callers' connections.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listener {
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub address: SocketAddr,
-    /// Most connections; none for an equal part of what callers may hold.
+    /// Maximum number of connections. `None` means an equal share of what the other listeners leave of the caller
+    /// connections.
     pub max_connections: Option<usize>,
-    /// The header in which callers say how long they wait, in milliseconds.
+    /// Request header in which callers state how long they wait, in milliseconds.
     pub deadline_header: Option<String>,
-    /// The path that tells whether requests can be served.
+    /// Path of the readiness check, which the listener answers itself.
     pub ready_path: String,
-    /// How long a connection without a request is kept.
+    /// How long a connection without a request stays open.
     pub idle_timeout: Micros,
-    /// How long a head may take.
+    /// Maximum time to receive the head of a request.
     pub head_timeout: Micros,
-    /// How long a request may take from its first byte to its last.
+    /// Maximum time from the first to the last byte of a request.
     pub body_timeout: Micros,
-    /// Where it stands.
+    /// Where the section stands in the text.
     pub span: Span,
 }
 
-/// `[class.NAME]`
+/// `[class.NAME]`: a request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassConfig {
-    /// As the module has it.
+    /// The class as the balancing engine uses it.
     pub class: Class,
-    /// What is asserted of it.
+    /// KnownNames from [`ASSERTIONS`] that the class asserts.
     pub assertions: Vec<String>,
-    /// Where it stands.
+    /// Where the section stands in the text.
     pub span: Span,
 }
 
 /// Where a pool's upstreams are listed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Nodes {
-    /// In the configuration.
+    /// The upstreams are listed in the configuration itself.
     Static(Vec<Node>),
-    /// In a file, in the form of the platform's list.
+    /// The upstreams are listed in a file at this path, in the format of the platform's list.
     File(String),
-    /// At a registry that speaks the platform's protocol.
+    /// The upstreams are listed by a registry at this address that speaks the platform's protocol.
     Registry(SocketAddr),
-    /// At several places, in the order of their precedence, or at one whose news is weighed.
+    /// The upstreams come from one or more membership sources, in order of precedence, whose changes are checked
+    /// against the guard.
     Sources(Vec<MembershipSource>, MembershipGuard),
 }
 
-/// `[[pool.NAME.source]]`
+/// `[[pool.NAME.source]]`: a source that lists a pool's members.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembershipSource {
-    /// Its name in logs.
+    /// Name of the source in logs.
     pub name: String,
-    /// Calls a second that all instances together may make there after a failure.
+    /// Calls per second that all instances together may make to the source after a failure.
     pub fleet_call_rate: f64,
-    /// How long an answer may take.
+    /// Maximum time for a response of the source.
     pub response_timeout: Micros,
-    /// Where it is and how it is asked.
+    /// Protocol, address and query settings of the source.
     pub kind: SourceKind,
 }
 
-/// Where a source is and how it is asked.
+/// Protocol of a membership source with its address and query settings.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SourceKind {
-    /// `etcd`
+    /// `etcd`: keys under a prefix, followed by a watch.
     Etcd {
-        /// Its endpoints.
+        /// Addresses of the source's servers.
         endpoints: Vec<SocketAddr>,
-        /// Ends with a slash.
+        /// Prefix of the members' keys; ends with a slash.
         prefix: String,
-        /// How often a quiet watch is checked.
+        /// Interval at which a watch without events is checked by a read.
         check_interval: Micros,
-        /// How far a watch may lag behind what a check found.
+        /// How long the watch may lag behind the revision that a check found.
         max_watch_lag: Micros,
-        /// How long the known cluster must be silent before an older view or another cluster is believed.
+        /// How long the known cluster must be silent before an older view or another cluster is accepted.
         acceptance_delay: Micros,
     },
-    /// `consul`
+    /// `consul`: a service, followed by blocking queries.
     Consul {
-        /// Its endpoints.
+        /// Addresses of the source's servers.
         endpoints: Vec<SocketAddr>,
-        /// The service.
+        /// Name of the service in Consul.
         service: String,
-        /// How long a question waits for news.
+        /// How long a blocking query waits for a change.
         poll_wait: Micros,
-        /// Any server may answer.
+        /// Whether any server may answer, not only the leader.
         allow_stale: bool,
-        /// One that has not heard of its leader for so long is not believed.
+        /// An answer is rejected if its server has had no contact with the leader for longer than this.
         max_staleness: Micros,
     },
-    /// `xds`
+    /// `xds`: endpoints of a cluster, followed on a stream.
     Xds {
-        /// Its endpoints.
+        /// Addresses of the source's servers.
         endpoints: Vec<SocketAddr>,
-        /// The cluster.
+        /// Name of the cluster in xDS.
         cluster: String,
-        /// Incremental, not state of the world.
+        /// Whether to use the incremental (delta) protocol instead of state of the world.
         incremental: bool,
-        /// A stream is opened anew after this.
+        /// Age at which a stream is replaced by a new stream.
         stream_lifetime: Micros,
-        /// How long a version that was seen before is not believed on a new stream.
+        /// How long a new stream's data is rejected if an earlier stream already delivered the same version.
         acceptance_delay: Micros,
     },
-    /// `dns` or `srv`
+    /// `dns` or `srv`: address or SRV records of a name.
     Dns {
-        /// The name.
+        /// Name to look up.
         name: String,
-        /// All members' port; none where SRV records tell it.
+        /// Port of all members. `None` for SRV records, which contain the port.
         port: Option<u16>,
-        /// Whose zone its members are in.
+        /// Zone assigned to all members of this source.
         zone: String,
-        /// Servers to ask; none for the system's.
+        /// DNS servers to query; the system's servers if empty.
         servers: Vec<SocketAddr>,
-        /// Records live no shorter than this ...
+        /// Lower bound on the time to live of a record.
         min_ttl: Micros,
-        /// ... and no longer than this.
+        /// Upper bound on the time to live of a record.
         max_ttl: Micros,
     },
-    /// `file`
+    /// `file`: path of a file in the format of the platform's list.
     File(String),
-    /// `registry`
+    /// `registry`: address of a registry that speaks the platform's protocol.
     Registry(SocketAddr),
 }
 
-/// `[pool.NAME.doubt]`
+/// `[pool.NAME.doubt]`: when a shrinking or oversized member list is not trusted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembershipGuard {
-    /// Losing more than this part of the serving members within the window is suspect.
+    /// Share of the serving members, 0 to 1, that may disappear within `window`; a larger loss is suspect.
     pub max_lost_share: f64,
-    /// The window.
+    /// Time window over which lost members are counted.
     pub window: Micros,
-    /// How long what is suspect is held.
+    /// How long a suspect change is held back.
     pub hold_time: Micros,
-    /// The lists are right, whatever they have lost.
+    /// Whether all losses are accepted, however large.
     pub accept_losses: bool,
-    /// More members than this are not taken from one source.
+    /// Maximum number of members accepted from one source.
     pub max_members: usize,
 }
 
@@ -312,196 +319,199 @@
     }
 }
 
-/// `[announce]`
+/// `[announce]`: registration of this instance in etcd.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Announce {
-    /// Endpoints of an etcd.
+    /// Addresses of the etcd servers.
     pub endpoints: Vec<SocketAddr>,
-    /// Ends with a slash.
+    /// Prefix of the registration's key; ends with a slash.
     pub prefix: String,
-    /// What this instance is known by there.
+    /// Identity under which this instance is registered.
     pub identity: String,
-    /// Where callers reach it.
+    /// Address at which callers reach this instance.
     pub address: SocketAddr,
-    /// How long the entry outlives the instance.
+    /// Lease time: how long the entry remains after the instance stops renewing it.
     pub lease: Micros,
-    /// Calls a second that all instances together may make there after a failure.
+    /// Calls per second that all instances together may make to etcd after a failure.
     pub fleet_call_rate: f64,
-    /// How long a call may take.
+    /// Maximum time for a response of etcd.
     pub response_timeout: Micros,
 }
 
-/// An upstream of a static list.
+/// `[[pool.NAME.nodes]]`: an upstream of a static list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Node {
-    /// Its identity.
+    /// Identity of the upstream.
     pub name: String,
-    /// Where it is.
+    /// Address of the upstream.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone that the upstream runs in.
     pub zone: String,
-    /// Its cell.
+    /// Number of the cell that the upstream belongs to.
     pub cell: u32,
-    /// Its size.
+    /// Capacity of the upstream relative to others, more than 0.
     pub weight: f64,
-    /// It finishes what it has and takes nothing new.
+    /// Whether the upstream is draining: it finishes open requests and receives no new ones.
     pub draining: bool,
 }
 
-/// What proves that an upstream turned a request away unseen.
+/// `[pool.NAME.declined]`: the response that proves that an upstream rejected a request without running it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DeclineRule {
-    /// A header ...
+    /// Response header that marks a declined request.
     pub header: String,
-    /// ... with this value ...
+    /// Value that the header must have.
     pub value: String,
-    /// ... in an answer with one of these statuses.
+    /// Status codes, of which the response must have one.
     pub statuses: Vec<u16>,
 }
 
-/// Answers up to this many bytes are held until they are whole, so that a spoilt one can be repeated; longer ones pass
-/// through as they come.
-const ANSWER_HELD: usize = 64 << 10;
+/// Largest response, in bytes, that is buffered until it is complete, so that the request can be retried if the
+/// response breaks off. Longer responses are streamed.
+const MAX_BUFFERED_RESPONSE: usize = 64 << 10;
 
 impl Pool {
-    /// Most bytes of an answer that are held at once.
+    /// Maximum number of bytes of a response that are buffered at once.
     pub fn max_buffered_response(&self) -> usize {
-        self.response_limit.min(ANSWER_HELD)
+        self.response_limit.min(MAX_BUFFERED_RESPONSE)
     }
 }
 
-/// `[pool.NAME]`
+/// `[pool.NAME]`: a pool of upstreams.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pool {
-    /// Requests a second that all instances together take; none for no such limit.
+    /// Requests per second that all instances together accept for the pool. `None` for no limit.
     pub fleet_rate: Option<u64>,
-    /// Where its upstreams are listed.
+    /// Where the pool's upstreams are listed.
     pub nodes: Nodes,
-    /// Its part of descriptors, open requests and memory beside other pools'.
+    /// Weight of the pool when connections, open requests and memory are divided among pools.
     pub weight: f64,
-    /// How many zones its upstreams are in.
+    /// Number of zones that the pool's upstreams run in.
     pub zone_count: u32,
-    /// Attempts for a request, all told.
+    /// Maximum number of attempts per request, including the first.
     pub max_attempts: u32,
-    /// Nothing new goes to an upstream this long after the news that it drains.
+    /// After an upstream is reported as draining, no new requests are sent to it once this time has passed.
     pub drain_grace: Micros,
-    /// A started upstream can do this part of its work ...
+    /// Share of its full capacity that an upstream has right after its start, up to 1.
     pub initial_capacity_share: f64,
-    /// ... and all of it after this.
+    /// Time after its start at which an upstream reaches its full capacity.
     pub warm_up_time: Micros,
-    /// Sent more than this multiple of what it can do ...
+    /// Load of a cold upstream, as a multiple of its current capacity, above which it fails if the load lasts for
+    /// `overload_time`.
     pub overload_factor: f64,
-    /// ... for this long, a cold upstream falls over.
+    /// How long a load above `overload_factor` lasts before a cold upstream fails.
     pub overload_time: Micros,
-    /// How long a connection may take to come up.
+    /// Maximum time to establish a connection to an upstream.
     pub connect_timeout: Micros,
-    /// After which idle time upstreams close a connection.
+    /// Idle time after which upstreams close a connection.
     pub idle_timeout: Micros,
-    /// The header that tells upstreams how long the balancer waits, in milliseconds.
+    /// Request header that states to upstreams how long the balancer waits, in milliseconds.
     pub deadline_header: Option<String>,
-    /// What proves that a request never ran.
+    /// The response that proves that a request never ran, if upstreams send such a response.
     pub declined: Option<DeclineRule>,
-    /// Most bytes of an answer; what is longer than [`held`](Pool::max_buffered_response) passes through.
+    /// Maximum size of a response, in bytes. Responses above [`max_buffered_response`](Pool::max_buffered_response) are
+    /// streamed.
     pub response_limit: usize,
-    /// Where it stands.
+    /// Where the section stands in the text.
     pub span: Span,
 }
 
-/// Where a route finds something.
+/// Where a route takes a value of the request from, such as the tenant or the idempotency key.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ValueSource {
-    /// `header:NAME`
+    /// `header:NAME`: the header of this name, in lower case.
     Header(String),
-    /// `query:NAME`
+    /// `query:NAME`: the query parameter of this name.
     Query(String),
-    /// `path:NAME`, by the number of the segment.
+    /// `path:NAME`: the path parameter of this name, as the index of its segment from 0.
     Segment(usize),
-    /// `=TEXT`, always this.
+    /// `=TEXT`: this text for every request.
     Fixed(String),
 }
 
-/// `[[route]]`
+/// `[[route]]`: which requests it matches and where they go.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteConfig {
-    /// What it asks for.
+    /// Name and match conditions of the route.
     pub route: Route,
-    /// The listeners it is for.
+    /// KnownNames of the listeners that the route applies to.
     pub listeners: Vec<String>,
-    /// Pools by weight; one pool has weight 100.
+    /// Pools with their weights; a single pool has weight 100.
     pub split: Vec<(String, u32)>,
-    /// What keeps a caller on its side.
+    /// Value that assigns a caller to the same pool of the split each time. `None` if none is configured.
     pub sticky: Option<ValueSource>,
-    /// Its classes; more than one only where a header names it.
+    /// KnownNames of the route's classes; more than one only if `class_header` selects among them.
     pub classes: Vec<String>,
-    /// The header that names the class.
+    /// Request header that names the class of a request.
     pub class_header: Option<String>,
-    /// Whose requests they are.
+    /// Where a request names its tenant.
     pub tenant: Option<ValueSource>,
-    /// What a keyed request is known by.
+    /// Where a request of a keyed class contains its idempotency key.
     pub key: Option<ValueSource>,
-    /// How long callers wait at the longest, if that is less than the class says.
+    /// Maximum time that callers wait, if shorter than the deadline of the class.
     pub deadline: Option<Micros>,
-    /// Most bytes of a body.
+    /// Maximum size of a request body, in bytes.
     pub body_limit: usize,
-    /// What is asserted of it.
+    /// KnownNames from [`ASSERTIONS`] that the route asserts.
     pub assertions: Vec<String>,
-    /// The operation that it was made for.
+    /// Operation that the route was generated for. `None` for a route written in the configuration.
     pub operation: Option<RouteOperation>,
-    /// Where it stands.
+    /// Where the section stands in the text.
     pub span: Span,
 }
 
-/// The operation of a route that was made from a description.
+/// The operation of a route that was generated from a description.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteOperation {
-    /// `portal POST /v1/checks`
+    /// Name of the operation: description, method and path, as in `portal POST /v1/checks`.
     pub name: String,
-    /// What is said of its answers.
+    /// What the description declares about the operation's responses.
     pub declared: Declared,
-    /// The class by which it goes once it is narrowed.
+    /// Name of the class that replaces the route's class once the operation is restricted, that is, once its responses
+    /// have contradicted the declared effect.
     pub restricted_class: String,
 }
 
-/// `[description.NAME]`
+/// `[description.NAME]`: an interface description and the settings of its routes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Description {
-    /// Its name.
+    /// Name of the description.
     pub name: String,
-    /// Its file, from the configuration's folder.
+    /// Path of the description's file, relative to the configuration's folder.
     pub file: String,
-    /// The hosts that it is for.
+    /// Hosts that the description applies to.
     pub hosts: Vec<HostPattern>,
-    /// The listeners that it is for.
+    /// KnownNames of the listeners that the description applies to.
     pub listeners: Vec<String>,
-    /// Pools by weight.
+    /// Pools with their weights.
     pub split: Vec<(String, u32)>,
-    /// The class of safe operations.
+    /// Name of the class of safe operations.
     pub safe_class: Option<String>,
-    /// The class of keyed ones.
+    /// Name of the class of keyed operations.
     pub keyed_class: Option<String>,
-    /// The class of all others, and of those that are narrowed.
+    /// Name of the class of all other operations and of restricted operations.
     pub unsafe_class: String,
-    /// Whose requests they are, where an operation does not say.
+    /// Where a request names its tenant, for operations that declare no tenant.
     pub tenant: Option<ValueSource>,
-    /// How long callers wait at the longest, if that is less than the class says.
+    /// Maximum time that callers wait, if shorter than the deadline of the class.
     pub deadline: Option<Micros>,
-    /// Most bytes of a body, where an operation does not say.
+    /// Maximum size of a request body, in bytes, for operations that declare no limit.
     pub body_limit: usize,
-    /// The share of answers that are compared with it.
+    /// Share of responses, from 0 to 1, that are compared with the description.
     pub compared_share: f64,
-    /// It makes no routes: those that were written by hand are held against it.
+    /// Whether the description generates no routes and the handwritten routes are checked against it instead.
     pub check_only: bool,
-    /// Where it stands.
+    /// Where the section stands in the text.
     pub span: Span,
 }
 
 impl Config {
-    /// The longest time that any caller may wait.
+    /// The longest deadline of all classes; 0 without classes.
     pub fn longest_deadline(&self) -> Micros {
         self.classes.values().map(|c| c.class.deadline).max().unwrap_or(0)
     }
 
-    /// The names of the classes that routes send to each pool, each once, in order.
+    /// For each pool, the names of the classes whose requests its routes can send to it, without duplicates and sorted.
     pub fn classes_by_pool(&self) -> BTreeMap<&str, BTreeSet<&str>> {
         let mut classes: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
         for route in &self.routes {
--- a/config/src/problem.rs
+++ b/config/src/problem.rs
@@ -1,35 +1,35 @@
-//! What is wrong with a configuration, and where.
+//! Errors and warnings about a configuration, with their line and key.
 
 use std::cell::RefCell;
 use std::fmt;
 use std::ops::Range;
 
-/// Whether the configuration can be used all the same.
+/// Whether a problem prevents the configuration from being used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Severity {
-    /// It cannot.
+    /// The configuration cannot be used.
     Error,
-    /// It can.
+    /// The configuration can be used.
     Warning,
 }
 
-/// A place in the text, as bytes.
+/// A byte range in the text of the configuration.
 pub type Span = Range<usize>;
 
-/// One thing that is wrong.
+/// An error or a warning about a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Problem {
-    /// The line, from 1.
+    /// Line of the problem in the text, from 1.
     pub line: usize,
-    /// The key, `pool.loket.attempts`.
+    /// Full key that the problem concerns, such as `pool.loket.attempts`; empty for a syntax error.
     pub key: String,
-    /// What stands there.
+    /// The value or condition that was found.
     pub found: String,
-    /// What should.
+    /// The value or condition that was expected.
     pub expected: String,
-    /// How bad it is.
+    /// Whether the problem is an error or a warning.
     pub severity: Severity,
-    /// The name by which it can be asserted, where it can.
+    /// Name of the assertion that suppresses the problem. `None` if no assertion does.
     pub assertion: Option<&'static str>,
 }
 
@@ -42,40 +42,54 @@
         }
         write!(f, "found {}, expected {}", self.found, self.expected)?;
         match self.assertion {
-            Some(name) => write!(f, " (if it is meant: assert = [\"{name}\"])"),
+            Some(name) => write!(f, " (if this is intended: assert = [\"{name}\"])"),
             None => Ok(()),
         }
     }
 }
 
-/// All that was found so far.
+/// Collects the problems of one configuration text.
 pub struct Problems<'a> {
     text: &'a str,
     found: RefCell<Vec<Problem>>,
 }
 
 impl<'a> Problems<'a> {
-    /// None yet.
+    /// An empty collection for this configuration text.
     pub fn new(text: &'a str) -> Problems<'a> {
         Problems { text, found: RefCell::default() }
     }
 
-    /// The line of a place, from 1.
+    /// Line number, from 1, at which a span starts.
     pub fn line(&self, span: &Span) -> usize {
         let before = self.text.as_bytes().get(..span.start).unwrap_or(self.text.as_bytes());
         1 + before.iter().filter(|b| **b == b'\n').count()
     }
 
-    pub(crate) fn add(&self, span: &Span, key: &str, found: impl Into<String>, expected: impl Into<String>) {
-        self.put(span, key, found.into(), expected.into(), Severity::Error, None);
+    /// Adds an error.
+    pub(crate) fn error(
+        &self,
+        span: &Span,
+        key: &str,
+        found: impl Into<String>,
+        expected: impl Into<String>,
+    ) {
+        self.push(span, key, found.into(), expected.into(), Severity::Error, None);
     }
 
-    pub(crate) fn warn(&self, span: &Span, key: &str, found: impl Into<String>, expected: impl Into<String>) {
-        self.put(span, key, found.into(), expected.into(), Severity::Warning, None);
+    /// Adds a warning.
+    pub(crate) fn warning(
+        &self,
+        span: &Span,
+        key: &str,
+        found: impl Into<String>,
+        expected: impl Into<String>,
+    ) {
+        self.push(span, key, found.into(), expected.into(), Severity::Warning, None);
     }
 
-    /// An error that can be asserted by name.
-    pub(crate) fn dangerous(
+    /// Adds an error that the operator can suppress with `assert = ["NAME"]`.
+    pub(crate) fn assertable_error(
         &self,
         span: &Span,
         key: &str,
@@ -83,16 +97,17 @@
         expected: impl Into<String>,
         assertion: &'static str,
     ) {
-        self.put(span, key, found.into(), expected.into(), Severity::Error, Some(assertion));
+        self.push(span, key, found.into(), expected.into(), Severity::Error, Some(assertion));
     }
 
-    pub(crate) fn syntax(&self, span: Option<Span>, message: &str) {
+    /// Adds an error of the TOML parser.
+    pub(crate) fn syntax_error(&self, span: Option<Span>, message: &str) {
         let span = span.unwrap_or(0..0);
-        let shown: String = self.text.get(span.clone()).unwrap_or("").chars().take(40).collect();
-        self.add(&span, "", format!("{shown:?}"), format!("TOML: {message}"));
+        let excerpt: String = self.text.get(span.clone()).unwrap_or("").chars().take(40).collect();
+        self.error(&span, "", format!("{excerpt:?}"), format!("TOML: {message}"));
     }
 
-    fn put(
+    fn push(
         &self,
         span: &Span,
         key: &str,
@@ -105,7 +120,7 @@
         self.found.borrow_mut().push(Problem { line, key, found, expected, severity, assertion });
     }
 
-    /// All of them, by line.
+    /// Returns all problems sorted by line, without duplicates.
     pub fn into_sorted(self) -> Vec<Problem> {
         let mut found = self.found.into_inner();
         found.sort();
--- a/config/src/read.rs
+++ b/config/src/read.rs
@@ -1,4 +1,5 @@
-//! Tables read key by key: each value with its place, and a problem for each that is missing, wrong or unknown.
+//! Reads TOML tables key by key, with the position of each value. Missing, invalid and unknown keys are reported as
+//! problems.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -10,30 +11,36 @@
 
 use crate::problem::{Problems, Span};
 
-/// A value and where it stands.
+/// A value with its position in the text.
 #[derive(Clone, Debug, PartialEq)]
-pub struct At<T> {
-    /// The value.
+pub struct Located<T> {
+    /// The value that was read.
     pub value: T,
-    /// Its place.
+    /// Position of the value in the text.
     pub span: Span,
 }
 
-/// A table under way of being read.
+/// A table that is being read. It records which keys are looked up, so that [`finish`](Section::finish) can report the
+/// others.
 pub struct Section<'a> {
     table: &'a DeTable<'a>,
+    /// Position of the table in the text.
     pub span: Span,
+    /// Full key of the table, such as `pool.NAME`; empty for the root table.
     pub path: String,
+    /// Collection that problems are added to.
     pub problems: &'a Problems<'a>,
-    asked: RefCell<BTreeSet<&'static str>>,
+    known_keys: RefCell<BTreeSet<&'static str>>,
 }
 
-/// What values are read into; the error says what was expected.
+/// A type that can be read from a TOML value.
 pub trait Value: Sized {
+    /// Converts a TOML value. The error describes the expected value.
     fn read(value: &DeValue<'_>) -> Result<Self, String>;
 }
 
-fn shown(value: &DeValue<'_>) -> String {
+/// Describes a value for the `found` part of a problem.
+fn describe_value(value: &DeValue<'_>) -> String {
     match value {
         DeValue::String(text) => format!("{:?}", text.chars().take(80).collect::<String>()),
         DeValue::Integer(i) => i.as_str().to_owned(),
@@ -46,71 +53,80 @@
 }
 
 impl<'a> Section<'a> {
+    /// Starts to read a table whose full key is `path`.
     pub fn new(table: &'a Spanned<DeTable<'a>>, path: &str, problems: &'a Problems<'a>) -> Section<'a> {
         let (span, table, path) = (table.span(), table.get_ref(), path.to_owned());
-        Section { table, span, path, problems, asked: RefCell::default() }
+        Section { table, span, path, problems, known_keys: RefCell::default() }
     }
 
+    /// Looks up a key and records it as known.
     fn find(&self, key: &'static str) -> Option<&'a Spanned<DeValue<'a>>> {
-        self.asked.borrow_mut().insert(key);
+        self.known_keys.borrow_mut().insert(key);
         self.table.iter().find(|(k, _)| k.get_ref() == key).map(|(_, v)| v)
     }
 
-    pub fn key(&self, key: &str) -> String {
+    /// Full key of a key of this table, such as `pool.NAME.attempts`.
+    pub fn qualified_key(&self, key: &str) -> String {
         if self.path.is_empty() { key.to_owned() } else { format!("{}.{key}", self.path) }
     }
 
-    /// A value that may be missing; a wrong one counts as missing after the problem was noted.
-    pub fn get<T: Value>(&self, key: &'static str) -> Option<At<T>> {
+    /// Reads an optional value. An invalid value is reported and treated as missing.
+    pub fn get<T: Value>(&self, key: &'static str) -> Option<Located<T>> {
         let found = self.find(key)?;
         match T::read(found.get_ref()) {
-            Ok(value) => Some(At { value, span: found.span() }),
+            Ok(value) => Some(Located { value, span: found.span() }),
             Err(expected) => {
-                self.problems.add(&found.span(), &self.key(key), shown(found.get_ref()), expected);
+                self.problems.error(
+                    &found.span(),
+                    &self.qualified_key(key),
+                    describe_value(found.get_ref()),
+                    expected,
+                );
                 None
             }
         }
     }
 
-    /// A value that must be there.
-    pub fn need<T: Value>(&self, key: &'static str, expected: &str) -> Option<At<T>> {
+    /// Reads a required value. A missing or invalid value is reported.
+    pub fn required<T: Value>(&self, key: &'static str, expected: &str) -> Option<Located<T>> {
         if self.find(key).is_none() {
-            self.problems.add(&self.span, &self.key(key), "nothing", expected);
+            self.problems.error(&self.span, &self.qualified_key(key), "nothing", expected);
         }
         self.get(key)
     }
 
-    /// A value, or what holds where there is none.
-    pub fn or<T: Value>(&self, key: &'static str, otherwise: T) -> T {
-        self.get(key).map_or(otherwise, |at| at.value)
+    /// Reads an optional value, with a default for a missing or invalid value.
+    pub fn get_or<T: Value>(&self, key: &'static str, default: T) -> T {
+        self.get(key).map_or(default, |at| at.value)
     }
 
-    /// Notes a problem with a key.
-    pub fn wrong(&self, span: &Span, key: &str, found: impl Into<String>, expected: impl Into<String>) {
-        self.problems.add(span, &self.key(key), found, expected);
+    /// Reports an error in a key of this table.
+    pub fn report(&self, span: &Span, key: &str, found: impl Into<String>, expected: impl Into<String>) {
+        self.problems.error(span, &self.qualified_key(key), found, expected);
     }
 
-    /// A table within this one.
+    /// Opens the table under a key of this table.
     pub fn section(&self, key: &'static str) -> Option<Section<'a>> {
         let found = self.find(key)?;
-        self.sub(found, &self.key(key))
+        self.subsection(found, &self.qualified_key(key))
     }
 
-    fn sub(&self, found: &'a Spanned<DeValue<'a>>, path: &str) -> Option<Section<'a>> {
+    /// Opens a value as a table whose full key is `path`; reports a value that is no table.
+    fn subsection(&self, found: &'a Spanned<DeValue<'a>>, path: &str) -> Option<Section<'a>> {
         match found.get_ref() {
             DeValue::Table(table) => {
                 let (span, path, problems) = (found.span(), path.to_owned(), self.problems);
-                Some(Section { table, span, path, problems, asked: RefCell::default() })
+                Some(Section { table, span, path, problems, known_keys: RefCell::default() })
             }
             other => {
-                self.problems.add(&found.span(), path, shown(other), "a table");
+                self.problems.error(&found.span(), path, describe_value(other), "a table");
                 None
             }
         }
     }
 
-    /// The named tables of a table, `[pool.NAME]`.
-    pub fn named(&self, key: &'static str) -> Vec<(At<String>, Section<'a>)> {
+    /// Opens the named tables under a key, as in `[pool.NAME]`, each with its name.
+    pub fn named_sections(&self, key: &'static str) -> Vec<(Located<String>, Section<'a>)> {
         let Some(outer) = self.section(key) else { return Vec::new() };
         let name = |text: &str| {
             let good = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
@@ -118,61 +134,66 @@
         };
         let mut list = Vec::new();
         for (k, v) in outer.table {
-            let path = outer.key(k.get_ref());
+            let path = outer.qualified_key(k.get_ref());
             if !name(k.get_ref()) {
                 let expected = "a name of 1 to 64 letters, digits, -, _ and .";
-                self.problems.add(&k.span(), &path, format!("{:?}", k.get_ref()), expected);
-            } else if let Some(mut section) = outer.sub(v, &path) {
-                // A header's place says more than that of the first key below it.
+                self.problems.error(&k.span(), &path, format!("{:?}", k.get_ref()), expected);
+            } else if let Some(mut section) = outer.subsection(v, &path) {
+                // Problems point to the line of the table's header, not of the first key below it.
                 section.span = k.span();
-                list.push((At { value: k.get_ref().to_string(), span: k.span() }, section));
+                list.push((Located { value: k.get_ref().to_string(), span: k.span() }, section));
             }
         }
         list
     }
 
-    /// The tables of a list, `[[route]]`.
-    pub fn list(&self, key: &'static str) -> Vec<Section<'a>> {
+    /// Opens the tables of an array of tables, as in `[[route]]`.
+    pub fn section_list(&self, key: &'static str) -> Vec<Section<'a>> {
         match self.find(key).map(|found| (found, found.get_ref())) {
             None => Vec::new(),
             Some((_, DeValue::Array(list))) => {
                 let entry = |(n, v): (usize, &'a Spanned<DeValue<'a>>)| {
-                    self.sub(v, &format!("{}[{}]", self.key(key), n + 1))
+                    self.subsection(v, &format!("{}[{}]", self.qualified_key(key), n + 1))
                 };
                 list.iter().enumerate().filter_map(entry).collect()
             }
             Some((found, other)) => {
-                self.problems.add(&found.span(), &self.key(key), shown(other), "a list of tables");
+                self.problems.error(
+                    &found.span(),
+                    &self.qualified_key(key),
+                    describe_value(other),
+                    "a list of tables",
+                );
                 Vec::new()
             }
         }
     }
 
-    /// All pairs of a small table of texts, booleans or numbers.
-    pub fn pairs(&self) -> Vec<(At<String>, &'a DeValue<'a>)> {
+    /// Returns the keys and values of a table with arbitrary keys. Each key carries the position of its value.
+    pub fn pairs(&self) -> Vec<(Located<String>, &'a DeValue<'a>)> {
         let pair = |(k, v): (&'a Spanned<_>, &'a Spanned<DeValue<'a>>)| {
             let name: &std::borrow::Cow<'a, str> = k.get_ref();
-            (At { value: name.to_string(), span: v.span() }, v.get_ref())
+            (Located { value: name.to_string(), span: v.span() }, v.get_ref())
         };
         self.table.iter().map(pair).collect()
     }
 
-    /// Notes every key that nobody asked for.
-    pub fn end(self) {
-        let asked = self.asked.borrow();
-        for (key, _) in self.table.iter().filter(|(k, _)| !asked.contains(k.get_ref().as_ref())) {
-            let near = asked.iter().map(|a| (distance(a, key.get_ref()), a)).min();
+    /// Ends reading the table: reports every key that was never looked up as unknown.
+    pub fn finish(self) {
+        let known_keys = self.known_keys.borrow();
+        for (key, _) in self.table.iter().filter(|(k, _)| !known_keys.contains(k.get_ref().as_ref())) {
+            let near = known_keys.iter().map(|a| (edit_distance(a, key.get_ref()), a)).min();
             let expected = match near {
                 Some((distance, near)) if distance <= 2 => format!("{near:?}"),
-                _ => format!("one of {}", asked.iter().copied().collect::<Vec<_>>().join(", ")),
+                _ => format!("one of {}", known_keys.iter().copied().collect::<Vec<_>>().join(", ")),
             };
-            self.problems.add(&key.span(), &self.key(key.get_ref()), "an unknown key", expected);
+            self.problems.error(&key.span(), &self.qualified_key(key.get_ref()), "an unknown key", expected);
         }
     }
 }
 
-/// Edit distance.
-fn distance(a: &str, b: &str) -> usize {
+/// Edit distance (Levenshtein) between two keys, for suggestions on unknown keys.
+fn edit_distance(a: &str, b: &str) -> usize {
     let mut row: Vec<usize> = (0..=b.len()).collect();
     for (i, x) in a.bytes().enumerate() {
         let mut corner = i;
@@ -188,7 +209,7 @@
 
 impl Value for String {
     fn read(value: &DeValue<'_>) -> Result<String, String> {
-        value.as_str().filter(|t| !t.is_empty()).map(str::to_owned).ok_or_else(|| "a text".to_owned())
+        value.as_str().filter(|t| !t.is_empty()).map(str::to_owned).ok_or_else(|| "a string".to_owned())
     }
 }
 
@@ -229,39 +250,41 @@
 impl<T: Value> Value for Vec<T> {
     fn read(value: &DeValue<'_>) -> Result<Vec<T>, String> {
         let list = value.as_array().ok_or("a list")?;
-        list.iter().map(|v| T::read(v.get_ref()).map_err(|e| format!("a list, each of it {e}"))).collect()
+        list.iter()
+            .map(|v| T::read(v.get_ref()).map_err(|e| format!("a list in which each entry is {e}")))
+            .collect()
     }
 }
 
-/// A span of time, in microseconds.
-pub struct Time(pub Micros);
+/// A duration in microseconds, written with its unit, such as `"250ms"`.
+pub struct TimeSpan(pub Micros);
 
-impl Value for Time {
-    fn read(value: &DeValue<'_>) -> Result<Time, String> {
+impl Value for TimeSpan {
+    fn read(value: &DeValue<'_>) -> Result<TimeSpan, String> {
         let units = [("ms", 1e3), ("us", 1.0), ("s", 1e6), ("min", 60e6), ("h", 3600e6)];
         let parsed = value.as_str().and_then(|text| {
             let (number, unit) = text.split_at(text.find(|c: char| c.is_ascii_alphabetic())?);
             let (_, factor) = units.iter().find(|(name, _)| *name == unit)?;
             let plain = !number.is_empty() && number.bytes().all(|b| b.is_ascii_digit() || b == b'.');
             let span = number.parse::<f64>().ok().filter(|_| plain)? * factor;
-            (span.is_finite() && span < 1e15).then_some(Time(span.round() as Micros))
+            (span.is_finite() && span < 1e15).then_some(TimeSpan(span.round() as Micros))
         });
-        parsed.ok_or_else(|| "a span such as \"250ms\", \"1.5s\" or \"2min\"".to_owned())
+        parsed.ok_or_else(|| "a duration such as \"250ms\", \"1.5s\" or \"2min\"".to_owned())
     }
 }
 
-/// A number of bytes.
-pub struct Size(pub usize);
+/// A number of bytes, written with its unit, such as `"64KiB"`.
+pub struct ByteSize(pub usize);
 
-impl Value for Size {
-    fn read(value: &DeValue<'_>) -> Result<Size, String> {
+impl Value for ByteSize {
+    fn read(value: &DeValue<'_>) -> Result<ByteSize, String> {
         let units = [("KiB", 1 << 10), ("MiB", 1 << 20), ("GiB", 1 << 30), ("B", 1)];
         let parsed = value.as_str().and_then(|text| {
             let (number, unit) = text.split_at(text.find(|c: char| c.is_ascii_alphabetic())?);
             let (_, factor) = units.iter().find(|(name, _)| *name == unit)?;
             let number =
                 number.bytes().all(|b| b.is_ascii_digit()).then(|| number.parse::<usize>().ok())??;
-            number.checked_mul(*factor).map(Size)
+            number.checked_mul(*factor).map(ByteSize)
         });
         parsed.ok_or_else(|| "a size such as \"64KiB\" or \"16MiB\"".to_owned())
     }
@@ -272,15 +295,15 @@
     use super::*;
 
     #[test]
-    fn spans_and_sizes_have_units_and_nothing_else() {
-        let time = |t: &'static str| Time::read(&DeValue::String(t.into())).map(|t| t.0).ok();
+    fn durations_and_sizes_require_a_number_and_a_unit() {
+        let time = |t: &'static str| TimeSpan::read(&DeValue::String(t.into())).map(|t| t.0).ok();
         assert_eq!(time("250ms"), Some(250_000));
         assert_eq!((time("1.5s"), time("2min"), time("7us")), (Some(1_500_000), Some(120_000_000), Some(7)));
         for bad in ["", "5", "s", "-1s", "1 s", "1e3s", "1.2.3s", "5m", "99999999999999999h", "NaNs", "infs"]
         {
             assert_eq!(time(bad), None, "{bad}");
         }
-        let size = |t: &'static str| Size::read(&DeValue::String(t.into())).map(|s| s.0).ok();
+        let size = |t: &'static str| ByteSize::read(&DeValue::String(t.into())).map(|s| s.0).ok();
         assert_eq!((size("64KiB"), size("3MiB"), size("9B")), (Some(65536), Some(3 << 20), Some(9)));
         for bad in ["", "64", "64KB", "-1KiB", "1.5MiB", "99999999999999999999GiB", "KiB"] {
             assert_eq!(size(bad), None, "{bad}");
@@ -288,7 +311,10 @@
     }
 
     #[test]
-    fn near_names_are_suggested() {
-        assert_eq!((distance("deadline", "dedline"), distance("a", "a"), distance("", "abc")), (1, 0, 3));
+    fn edit_distance_counts_insertions_and_deletions() {
+        assert_eq!(
+            (edit_distance("deadline", "dedline"), edit_distance("a", "a"), edit_distance("", "abc")),
+            (1, 0, 3)
+        );
     }
 }
