--- a/fleet/src/channel.rs
+++ b/fleet/src/channel.rs
@@ -16,30 +16,30 @@
 
 use finchshift::Micros;
 
-use crate::message::{Bad, Keys, Message, Packet};
+use crate::message::{DatagramError, Keys, Message, Packet};
 
 /// How long a secret makes cookies; it takes them for as long again.
-const SECRET: Micros = 600_000_000;
+const SECRET_ROTATION_US: Micros = 600_000_000;
 /// How long a hello may take. Far shorter than cookies last: nothing is said again because its cookie has become old.
-const HELLO: Micros = 5_000_000;
+const HELLO_TIMEOUT_US: Micros = 5_000_000;
 /// Numbers behind the highest that may still come.
-pub const WINDOW: u64 = 128;
+pub const REPLAY_WINDOW: u64 = 128;
 /// Sessions that are known at once. Guards the memory.
-const MOST_SESSIONS: usize = 16_384;
+const MAX_SESSIONS: usize = 16_384;
 /// Messages of a session that are heard each second.
-pub const EACH_SECOND: f64 = 200.0;
+pub const MAX_MESSAGES_PER_SECOND: f64 = 200.0;
 /// Peers whose cookies are known. Those that are left out say hello again.
-const MOST_PEERS: usize = 16_384;
+const MAX_PEERS: usize = 16_384;
 
 /// What is known of another's life.
 #[derive(Debug)]
 struct Session {
-    highest: u64,
+    highest_number: u64,
     /// Bit n: the number n below the highest has been heard.
-    heard: u128,
-    at: Micros,
+    received_bits: u128,
+    last_received_at: Micros,
     /// Messages that may be heard now.
-    left: f64,
+    tokens: f64,
 }
 
 /// What is known of whom to speak to.
@@ -47,20 +47,20 @@
 struct Peer {
     cookie: u64,
     /// The last datagram: its number, its message in case the cookie was wrong, and when.
-    last: Option<(u64, Message, Micros)>,
+    last_sent: Option<(u64, Message, Micros)>,
 }
 
 /// What came of a datagram.
 #[derive(Debug, PartialEq)]
-pub enum Heard {
+pub enum Received {
     /// A message.
     Message(Message),
     /// Something to send back at once.
     Reply(Vec<u8>),
     /// Nothing: it was heard already, or too many came.
-    Nothing,
+    Ignored,
     /// It is none.
-    Bad(Bad),
+    Invalid(DatagramError),
 }
 
 /// One end of all conversations.
@@ -68,15 +68,15 @@
 pub struct Channel {
     keys: Keys,
     session: u64,
-    number: u64,
+    last_number: u64,
     /// The present secret and the one before.
     secrets: [[u8; 32]; 2],
-    since: Micros,
+    rotated_at: Micros,
     sessions: HashMap<(SocketAddr, u64), Session>,
     peers: HashMap<SocketAddr, Peer>,
     rng: fastrand::Rng,
     /// Datagrams that were no messages, or were not heard.
-    pub refused: u64,
+    pub rejected: u64,
 }
 
 impl Channel {
@@ -85,17 +85,17 @@
         let mut seed = [0; 8];
         seed.copy_from_slice(&blake3::derive_key("sloeline-fleet session", &secret)[..8]);
         let mut rng = fastrand::Rng::with_seed(u64::from_le_bytes(seed));
-        let before = blake3::derive_key("sloeline-fleet before", &secret);
+        let previous = blake3::derive_key("sloeline-fleet before", &secret);
         Channel {
             keys,
             session: rng.u64(..),
-            number: 0,
-            secrets: [secret, before],
-            since: 0,
+            last_number: 0,
+            secrets: [secret, previous],
+            rotated_at: 0,
             sessions: HashMap::new(),
             peers: HashMap::new(),
             rng,
-            refused: 0,
+            rejected: 0,
         }
     }
 
@@ -114,54 +114,55 @@
         u64::from_le_bytes(bytes).max(1)
     }
 
-    fn pass(&mut self, now: Micros) {
-        if now < self.since + SECRET {
+    fn rotate_secrets(&mut self, now: Micros) {
+        if now < self.rotated_at + SECRET_ROTATION_US {
             return;
         }
         // After a long pause nothing of before is fresh.
         let next = |secret: &[u8; 32]| blake3::derive_key("sloeline-fleet next", secret);
-        let steps = ((now - self.since) / SECRET).min(2);
+        let steps = ((now - self.rotated_at) / SECRET_ROTATION_US).min(2);
         for _ in 0..steps {
             self.secrets = [next(&self.secrets[0]), self.secrets[0]];
         }
-        self.since = now;
-        self.sessions.retain(|_, session| now < session.at + 3 * SECRET);
+        self.rotated_at = now;
+        self.sessions.retain(|_, session| now < session.last_received_at + 3 * SECRET_ROTATION_US);
     }
 
     /// A datagram with a message.
     pub fn seal(&mut self, now: Micros, to: SocketAddr, message: Message) -> Option<Vec<u8>> {
-        self.number += 1;
-        if self.peers.len() >= MOST_PEERS && !self.peers.contains_key(&to) {
+        self.last_number += 1;
+        if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(&to) {
             self.peers.clear();
         }
         let peer = self.peers.entry(to).or_default();
-        peer.last = Some((self.number, message.clone(), now));
+        peer.last_sent = Some((self.last_number, message.clone(), now));
         let packet =
-            Packet::Message { cookie: peer.cookie, session: self.session, number: self.number, message };
+            Packet::Message { cookie: peer.cookie, session: self.session, number: self.last_number, message };
         self.keys.seal(&packet)
     }
 
     /// What a datagram says.
-    pub fn open(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) -> Heard {
-        self.pass(now);
-        let heard = self.take(now, from, bytes);
-        self.refused += u64::from(matches!(heard, Heard::Nothing | Heard::Bad(_)));
-        heard
+    pub fn open(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) -> Received {
+        self.rotate_secrets(now);
+        let received = self.receive(now, from, bytes);
+        self.rejected += u64::from(matches!(received, Received::Ignored | Received::Invalid(_)));
+        received
     }
 
-    fn take(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) -> Heard {
+    fn receive(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) -> Received {
         match self.keys.open(bytes) {
-            Err(why) => Heard::Bad(why),
+            Err(error) => Received::Invalid(error),
             Ok(Packet::Hello { cookie, echo }) => {
-                let Some(peer) = self.peers.get_mut(&from) else { return Heard::Nothing };
+                let Some(peer) = self.peers.get_mut(&from) else { return Received::Ignored };
                 // Only what answers the last datagram: an old one, or one that was meant for others, changes nothing.
-                let answers =
-                    |(number, _, at): &mut (u64, Message, Micros)| *number == echo && now < *at + HELLO;
-                let Some((_, message, _)) = peer.last.take_if(answers) else {
-                    return Heard::Nothing;
+                let answers = |(number, _, at): &mut (u64, Message, Micros)| {
+                    *number == echo && now < *at + HELLO_TIMEOUT_US
+                };
+                let Some((_, message, _)) = peer.last_sent.take_if(answers) else {
+                    return Received::Ignored;
                 };
                 peer.cookie = cookie;
-                self.seal(now, from, message).map_or(Heard::Nothing, Heard::Reply)
+                self.seal(now, from, message).map_or(Received::Ignored, Received::Reply)
             }
             Ok(Packet::Message { cookie, session, number, message }) => {
                 let fresh =
@@ -172,45 +173,49 @@
                     let hello = self.keys.seal(&Packet::Hello { cookie, echo: number });
                     return hello
                         .filter(|hello| hello.len() <= bytes.len())
-                        .map_or(Heard::Nothing, Heard::Reply);
+                        .map_or(Received::Ignored, Received::Reply);
+                }
+                if self.accept_once(now, (from, session), number) {
+                    Received::Message(message)
+                } else {
+                    Received::Ignored
                 }
-                if self.once(now, (from, session), number) { Heard::Message(message) } else { Heard::Nothing }
             }
         }
     }
 
-    fn once(&mut self, now: Micros, session: (SocketAddr, u64), number: u64) -> bool {
-        if !self.sessions.contains_key(&session) && self.sessions.len() >= MOST_SESSIONS {
+    fn accept_once(&mut self, now: Micros, session: (SocketAddr, u64), number: u64) -> bool {
+        if !self.sessions.contains_key(&session) && self.sessions.len() >= MAX_SESSIONS {
             return false;
         }
-        let known = self.sessions.entry(session).or_insert(Session {
-            highest: number,
-            heard: 0,
-            at: now,
-            left: EACH_SECOND,
+        let state = self.sessions.entry(session).or_insert(Session {
+            highest_number: number,
+            received_bits: 0,
+            last_received_at: now,
+            tokens: MAX_MESSAGES_PER_SECOND,
         });
-        let span = now.saturating_sub(known.at) as f64 / 1e6;
-        known.left = (known.left + span * EACH_SECOND).min(EACH_SECOND);
-        known.at = known.at.max(now);
-        if known.left < 1.0 {
+        let elapsed = now.saturating_sub(state.last_received_at) as f64 / 1e6;
+        state.tokens = (state.tokens + elapsed * MAX_MESSAGES_PER_SECOND).min(MAX_MESSAGES_PER_SECOND);
+        state.last_received_at = state.last_received_at.max(now);
+        if state.tokens < 1.0 {
             return false;
         }
-        if number > known.highest {
-            let ahead = number - known.highest;
-            known.heard = if ahead < WINDOW { known.heard << ahead } else { 0 };
-            known.highest = number;
+        if number > state.highest_number {
+            let ahead = number - state.highest_number;
+            state.received_bits = if ahead < REPLAY_WINDOW { state.received_bits << ahead } else { 0 };
+            state.highest_number = number;
         }
-        let behind = known.highest - number;
-        if behind >= WINDOW || known.heard >> behind & 1 == 1 {
+        let behind = state.highest_number - number;
+        if behind >= REPLAY_WINDOW || state.received_bits >> behind & 1 == 1 {
             return false;
         }
-        known.heard |= 1 << behind;
-        known.left -= 1.0;
+        state.received_bits |= 1 << behind;
+        state.tokens -= 1.0;
         true
     }
 
     /// A number at random.
-    pub fn draw(&mut self) -> u64 {
+    pub fn random_u64(&mut self) -> u64 {
         self.rng.u64(..)
     }
 }
@@ -234,11 +239,11 @@
     }
 
     /// Lets a message through the first hello.
-    fn meet(a: &mut Channel, b: &mut Channel, now: Micros, number: u32) -> Vec<u8> {
+    fn handshake(a: &mut Channel, b: &mut Channel, now: Micros, number: u32) -> Vec<u8> {
         let sealed = a.seal(now, at(2), message(number)).expect("short");
         match b.open(now, at(1), &sealed) {
-            Heard::Reply(hello) => match a.open(now, at(2), &hello) {
-                Heard::Reply(again) => again,
+            Received::Reply(hello) => match a.open(now, at(2), &hello) {
+                Received::Reply(resent) => resent,
                 other => panic!("{other:?}"),
             },
             other => panic!("{other:?}"),
@@ -246,66 +251,70 @@
     }
 
     #[test]
-    fn a_message_is_heard_once_and_nothing_of_another_life_is() {
+    fn a_message_is_accepted_once_and_not_by_a_restarted_receiver() {
         let (mut a, mut b) = (Channel::new(keys(), [1; 32]), Channel::new(keys(), [2; 32]));
-        let first = meet(&mut a, &mut b, 0, 7);
-        assert_eq!(b.open(0, at(1), &first), Heard::Message(message(7)));
-        assert_eq!(b.open(0, at(1), &first), Heard::Nothing);
+        let first = handshake(&mut a, &mut b, 0, 7);
+        assert_eq!(b.open(0, at(1), &first), Received::Message(message(7)));
+        assert_eq!(b.open(0, at(1), &first), Received::Ignored);
         // From elsewhere it is a stranger's, and gets no more than a hello.
-        assert!(matches!(b.open(0, at(3), &first), Heard::Reply(hello) if hello.len() <= first.len()));
+        assert!(matches!(b.open(0, at(3), &first), Received::Reply(hello) if hello.len() <= first.len()));
         // The next ones need no hello; out of order they are heard, once each.
         let sealed: Vec<Vec<u8>> = (0..20).map(|n| a.seal(1, at(2), message(n)).expect("short")).collect();
         for (n, sealed) in sealed.iter().enumerate().rev() {
-            assert_eq!(b.open(1, at(1), sealed), Heard::Message(message(n as u32)));
+            assert_eq!(b.open(1, at(1), sealed), Received::Message(message(n as u32)));
         }
-        assert!(sealed.iter().all(|sealed| b.open(1, at(1), sealed) == Heard::Nothing));
+        assert!(sealed.iter().all(|sealed| b.open(1, at(1), sealed) == Received::Ignored));
         // The receiver's next life takes nothing that was said to the one before.
         let mut next = Channel::new(keys(), [3; 32]);
         for sealed in sealed.iter().chain([&first]) {
-            assert!(matches!(next.open(0, at(1), sealed), Heard::Reply(_)));
+            assert!(matches!(next.open(0, at(1), sealed), Received::Reply(_)));
         }
         // An old hello changes nothing.
         let hello = keys().seal(&Packet::Hello { cookie: 9, echo: 1 }).expect("short");
-        assert_eq!(a.open(0, at(2), &hello), Heard::Nothing);
+        assert_eq!(a.open(0, at(2), &hello), Received::Ignored);
         // Secrets change, and who is spoken to meanwhile goes on; what is twenty minutes old is not fresh.
-        let mut kept = Vec::new();
+        let mut recorded = Vec::new();
         for step in 1..=12 {
             let now = step * 200_000_000;
             let sealed = a.seal(now, at(2), message(step as u32)).expect("short");
-            kept.push(sealed.clone());
-            let heard = match b.open(now, at(1), &sealed) {
-                Heard::Reply(hello) => match a.open(now, at(2), &hello) {
-                    Heard::Reply(again) => b.open(now, at(1), &again),
+            recorded.push(sealed.clone());
+            let accepted = match b.open(now, at(1), &sealed) {
+                Received::Reply(hello) => match a.open(now, at(2), &hello) {
+                    Received::Reply(resent) => b.open(now, at(1), &resent),
                     other => other,
                 },
                 other => other,
             };
-            assert_eq!(heard, Heard::Message(message(step as u32)), "at {now}");
+            assert_eq!(accepted, Received::Message(message(step as u32)), "at {now}");
         }
-        let late = 40 * SECRET;
-        for sealed in &kept {
-            assert!(!matches!(b.open(late, at(1), sealed), Heard::Message(_)));
+        let late = 40 * SECRET_ROTATION_US;
+        for sealed in &recorded {
+            assert!(!matches!(b.open(late, at(1), sealed), Received::Message(_)));
         }
     }
 
     #[test]
-    fn whatever_is_recorded_and_said_again_is_heard_once() {
+    fn replayed_datagrams_are_accepted_at_most_once() {
         let seed =
             std::env::var("SEED").ok().and_then(|s| s.parse().ok()).unwrap_or_else(|| fastrand::u64(..));
         println!("SEED={seed}");
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut heard_ever = 0;
+        let mut accepted_total = 0;
         for _ in 0..20 {
             let (mut a, mut b) =
                 (Channel::new(keys(), rng_bytes(&mut rng)), Channel::new(keys(), rng_bytes(&mut rng)));
-            let (mut recorded, mut heard, mut now) = (Vec::new(), HashSet::new(), 0);
+            let (mut recorded, mut accepted, mut now) = (Vec::new(), HashSet::new(), 0);
             for number in 0..400 {
-                now += if rng.u32(0..50) == 0 { rng.u64(0..2 * SECRET) } else { rng.u64(0..1_000_000) };
+                now += if rng.u32(0..50) == 0 {
+                    rng.u64(0..2 * SECRET_ROTATION_US)
+                } else {
+                    rng.u64(0..1_000_000)
+                };
                 if rng.u32(0..100) == 0 {
                     b = Channel::new(keys(), rng_bytes(&mut rng));
                     // Another life may be told the last message again.
-                    heard_ever += heard.len();
-                    heard.clear();
+                    accepted_total += accepted.len();
+                    accepted.clear();
                 }
                 recorded.push(a.seal(now, at(2), message(number)).expect("short"));
                 for _ in 0..rng.usize(0..4) {
@@ -314,14 +323,14 @@
                     let mut next = Some(sealed);
                     while let Some(sealed) = next.take() {
                         match b.open(now, at(1), &sealed) {
-                            Heard::Message(message) => {
+                            Received::Message(message) => {
                                 let Kind::Ping(number) = message.kind else { unreachable!() };
-                                assert!(heard.insert(number), "{number} was heard twice at {now}");
+                                assert!(accepted.insert(number), "{number} was accepted twice at {now}");
                             }
-                            Heard::Reply(hello) => {
-                                if let Heard::Reply(again) = a.open(now, at(2), &hello) {
-                                    recorded.push(again.clone());
-                                    next = Some(again);
+                            Received::Reply(hello) => {
+                                if let Received::Reply(resent) = a.open(now, at(2), &hello) {
+                                    recorded.push(resent.clone());
+                                    next = Some(resent);
                                 }
                             }
                             _ => {}
@@ -329,9 +338,12 @@
                     }
                 }
             }
-            heard_ever += heard.len();
+            accepted_total += accepted.len();
         }
-        assert!(heard_ever > 1_000, "{heard_ever}: too little is heard to show anything");
+        assert!(
+            accepted_total > 1_000,
+            "{accepted_total}: too few messages accepted for the test to mean anything"
+        );
     }
 
     fn rng_bytes(rng: &mut fastrand::Rng) -> [u8; 32] {
@@ -339,23 +351,23 @@
     }
 
     #[test]
-    fn one_that_runs_wild_is_heard_no_more_than_it_may_be() {
+    fn messages_per_session_and_sessions_are_limited() {
         let (mut a, mut b) = (Channel::new(keys(), [1; 32]), Channel::new(keys(), [2; 32]));
-        let first = meet(&mut a, &mut b, 0, 0);
+        let first = handshake(&mut a, &mut b, 0, 0);
         b.open(0, at(1), &first);
-        let heard = (0..20_000_u64)
+        let accepted = (0..20_000_u64)
             .filter(|n| {
                 let sealed = a.seal(n * 100, at(2), message(1)).expect("short");
-                matches!(b.open(n * 100, at(1), &sealed), Heard::Message(_))
+                matches!(b.open(n * 100, at(1), &sealed), Received::Message(_))
             })
             .count();
         // Two seconds, and what had gathered.
-        assert!(heard as f64 <= 3.0 * EACH_SECOND, "{heard}");
-        let strangers = (0..2 * MOST_SESSIONS).filter(|n| {
-            let mut stranger = Channel::new(keys(), blake3::derive_key("x", &n.to_le_bytes()));
-            let again = meet(&mut stranger, &mut b, 3_000_000, 1);
-            matches!(b.open(3_000_000, at(1), &again), Heard::Message(_))
+        assert!(accepted as f64 <= 3.0 * MAX_MESSAGES_PER_SECOND, "{accepted}");
+        let senders = (0..2 * MAX_SESSIONS).filter(|n| {
+            let mut sender = Channel::new(keys(), blake3::derive_key("x", &n.to_le_bytes()));
+            let resent = handshake(&mut sender, &mut b, 3_000_000, 1);
+            matches!(b.open(3_000_000, at(1), &resent), Received::Message(_))
         });
-        assert!(strangers.count() < MOST_SESSIONS);
+        assert!(senders.count() < MAX_SESSIONS);
     }
 }
--- a/fleet/src/message.rs
+++ b/fleet/src/message.rs
@@ -21,15 +21,15 @@
 /// The version that is spoken.
 pub const VERSION: u8 = 1;
 /// Most bytes of a datagram.
-pub const MOST_DATAGRAM: usize = 1_400;
+pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 /// Longest name, in bytes.
-pub const MOST_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 /// Bytes of a tag.
-const TAG: usize = 16;
+const TAG_BYTES: usize = 16;
 /// Bytes before the packet.
-const HEAD: usize = 5;
+const HEADER_BYTES: usize = 5;
 /// Bytes that a packet may have.
-pub const MOST_PACKET: usize = MOST_DATAGRAM - HEAD - TAG;
+pub const MAX_PACKET_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES - TAG_BYTES;
 
 /// An instance's name.
 pub type Name = Arc<str>;
@@ -70,12 +70,12 @@
     /// Of which node.
     pub node: Name,
     /// What.
-    pub seen: Seen,
+    pub seen: Observation,
 }
 
 /// What can be seen of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Seen {
+pub enum Observation {
     /// Its source told a drain at this revision, or took it back at it.
     Drain {
         /// Of the source.
@@ -99,7 +99,7 @@
     /// Some of those who are there.
     Members,
     /// Something of grants; see [`crate::grants`].
-    Grants(Name, crate::grants::Said),
+    Grants(Name, crate::grants::GrantMessage),
     /// Nothing but what is said beside, which can't wait.
     News,
 }
@@ -142,24 +142,26 @@
 
 /// Why a datagram is not heard.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum DatagramError {
     /// It is too short, too long, or not what it says.
-    Form,
+    Malformed,
     /// Of another version.
-    Version(u8),
+    UnsupportedVersion(u8),
     /// No such key.
-    Key,
+    UnknownKey,
     /// Not signed with its key.
-    Tag,
+    BadTag,
 }
 
-impl fmt::Display for Bad {
+impl fmt::Display for DatagramError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Bad::Form => write!(f, "found no message"),
-            Bad::Version(found) => write!(f, "found version {found}, expected {VERSION}"),
-            Bad::Key => write!(f, "found a key that is not known"),
-            Bad::Tag => write!(f, "found a signature by another key"),
+            DatagramError::Malformed => write!(f, "found no message"),
+            DatagramError::UnsupportedVersion(found) => {
+                write!(f, "found version {found}, expected {VERSION}")
+            }
+            DatagramError::UnknownKey => write!(f, "found a key that is not known"),
+            DatagramError::BadTag => write!(f, "found a signature by another key"),
         }
     }
 }
@@ -167,7 +169,7 @@
 /// The keys that are alive: all are heard, the first is signed with.
 #[derive(Clone)]
 pub struct Keys {
-    first: [u8; 4],
+    signing_key: [u8; 4],
     secrets: BTreeMap<[u8; 4], Vec<u8>>,
 }
 
@@ -191,7 +193,7 @@
             first.get_or_insert(id(name));
             secrets.insert(id(name), secret);
         }
-        Some(Keys { first: first?, secrets })
+        Some(Keys { signing_key: first?, secrets })
     }
 
     fn mac(secret: &[u8], bytes: &[u8]) -> Hmac<Sha256> {
@@ -204,51 +206,51 @@
     /// A datagram; none for a packet that is too long for one.
     pub fn seal(&self, packet: &Packet) -> Option<Vec<u8>> {
         let mut bytes = vec![VERSION];
-        bytes.extend(self.first);
+        bytes.extend(self.signing_key);
         let mut bytes = postcard::to_extend(packet, bytes).ok()?;
-        let tag = Keys::mac(&self.secrets[&self.first], &bytes).finalize().into_bytes();
-        bytes.extend(&tag[..TAG]);
-        (bytes.len() <= MOST_DATAGRAM).then_some(bytes)
+        let tag = Keys::mac(&self.secrets[&self.signing_key], &bytes).finalize().into_bytes();
+        bytes.extend(&tag[..TAG_BYTES]);
+        (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
     }
 
     /// What a datagram carries.
-    pub fn open(&self, bytes: &[u8]) -> Result<Packet, Bad> {
-        if bytes.len() < HEAD + TAG || bytes.len() > MOST_DATAGRAM {
-            return Err(Bad::Form);
+    pub fn open(&self, bytes: &[u8]) -> Result<Packet, DatagramError> {
+        if bytes.len() < HEADER_BYTES + TAG_BYTES || bytes.len() > MAX_DATAGRAM_BYTES {
+            return Err(DatagramError::Malformed);
         }
         if bytes[0] != VERSION {
-            return Err(Bad::Version(bytes[0]));
+            return Err(DatagramError::UnsupportedVersion(bytes[0]));
         }
-        let (signed, tag) = bytes.split_at(bytes.len() - TAG);
+        let (signed, tag) = bytes.split_at(bytes.len() - TAG_BYTES);
         let mut key = [0; 4];
-        key.copy_from_slice(&signed[1..HEAD]);
-        let secret = self.secrets.get(&key).ok_or(Bad::Key)?;
+        key.copy_from_slice(&signed[1..HEADER_BYTES]);
+        let secret = self.secrets.get(&key).ok_or(DatagramError::UnknownKey)?;
         // Before anything is read: whoever has no key can do nothing with what it sends.
-        Keys::mac(secret, signed).verify_truncated_left(tag).map_err(|_| Bad::Tag)?;
-        match postcard::take_from_bytes(&signed[HEAD..]) {
-            Ok((packet, rest)) if rest.is_empty() && bounded(&packet) => Ok(packet),
-            _ => Err(Bad::Form),
+        Keys::mac(secret, signed).verify_truncated_left(tag).map_err(|_| DatagramError::BadTag)?;
+        match postcard::take_from_bytes(&signed[HEADER_BYTES..]) {
+            Ok((packet, rest)) if rest.is_empty() && names_fit(&packet) => Ok(packet),
+            _ => Err(DatagramError::Malformed),
         }
     }
 }
 
 /// Whether names are no longer than they may be; numbers of things are bounded by the datagram.
-fn bounded(packet: &Packet) -> bool {
+fn names_fit(packet: &Packet) -> bool {
     let Packet::Message { message, .. } = packet else { return true };
-    let good = |name: &Name| (1..=MOST_NAME).contains(&name.len());
-    let of_facts = message.facts.iter().flat_map(|fact| [&fact.pool, &fact.node]);
+    let fits = |name: &Name| (1..=MAX_NAME_BYTES).contains(&name.len());
+    let fact_names = message.facts.iter().flat_map(|fact| [&fact.pool, &fact.node]);
     let budget = match &message.kind {
         Kind::Grants(budget, _) => Some(budget),
         _ => None,
     };
-    good(&message.from)
-        && message.updates.iter().all(|update| good(&update.name) && update.zone.len() <= MOST_NAME)
-        && of_facts.chain(budget).all(good)
+    fits(&message.from)
+        && message.updates.iter().all(|update| fits(&update.name) && update.zone.len() <= MAX_NAME_BYTES)
+        && fact_names.chain(budget).all(fits)
 }
 
 /// How many bytes something takes in a packet.
-pub fn size(of: &impl Serialize) -> usize {
-    postcard::experimental::serialized_size(of).unwrap_or(MOST_DATAGRAM)
+pub fn encoded_size(value: &impl Serialize) -> usize {
+    postcard::experimental::serialized_size(value).unwrap_or(MAX_DATAGRAM_BYTES)
 }
 
 #[cfg(test)]
@@ -268,37 +270,40 @@
             incarnation: 3,
             state: State::Suspect,
         };
-        let fact =
-            Fact { pool: "p".into(), node: "n".into(), seen: Seen::Drain { revision: 9, drains: true } };
+        let fact = Fact {
+            pool: "p".into(),
+            node: "n".into(),
+            seen: Observation::Drain { revision: 9, drains: true },
+        };
         let message =
             Message { from: name, kind: Kind::Ping(77), updates: vec![update; 8], facts: vec![fact; 3] };
         Packet::Message { cookie: 1, session: 2, number: 3, message }
     }
 
     #[test]
-    fn what_is_sealed_is_opened_and_nothing_that_was_touched() {
+    fn sealed_packets_open_and_altered_ones_do_not() {
         let both = keys(&[("new", 2), ("old", 1)]);
         let sealed = both.seal(&packet()).expect("it is short");
         assert_eq!(both.open(&sealed), Ok(packet()));
         for at in 0..sealed.len() {
             assert!(both.open(&sealed[..at]).is_err(), "cut at {at}");
-            let mut touched = sealed.clone();
-            touched[at] ^= 1 << (at % 8);
-            assert!(both.open(&touched).is_err(), "touched at {at}");
+            let mut altered = sealed.clone();
+            altered[at] ^= 1 << (at % 8);
+            assert!(both.open(&altered).is_err(), "altered at {at}");
         }
         // Either key is heard while both are alive; each other's only then.
         let (old, new) = (keys(&[("old", 1)]), keys(&[("new", 2)]));
         assert_eq!(both.open(&old.seal(&packet()).expect("short")), Ok(packet()));
-        assert_eq!(old.open(&sealed), Err(Bad::Key));
+        assert_eq!(old.open(&sealed), Err(DatagramError::UnknownKey));
         assert_eq!(new.open(&sealed), Ok(packet()));
-        assert_eq!(keys(&[("new", 3)]).open(&sealed), Err(Bad::Tag));
+        assert_eq!(keys(&[("new", 3)]).open(&sealed), Err(DatagramError::BadTag));
         let mut later = sealed.clone();
         later[0] = 2;
-        assert_eq!(both.open(&later), Err(Bad::Version(2)));
+        assert_eq!(both.open(&later), Err(DatagramError::UnsupportedVersion(2)));
     }
 
     #[test]
-    fn a_holder_of_the_key_that_sends_garbage_is_not_heard() {
+    fn signed_garbage_is_rejected_or_decodes_within_bounds() {
         let seed =
             std::env::var("SEED").ok().and_then(|s| s.parse().ok()).unwrap_or_else(|| fastrand::u64(..));
         println!("SEED={seed}");
@@ -306,25 +311,25 @@
         let keys = keys(&[("k", 1)]);
         let good = keys.seal(&packet()).expect("it is short");
         let signed = |mut bytes: Vec<u8>| {
-            let tag = Keys::mac(&keys.secrets[&keys.first], &bytes).finalize().into_bytes();
-            bytes.extend(&tag[..TAG]);
+            let tag = Keys::mac(&keys.secrets[&keys.signing_key], &bytes).finalize().into_bytes();
+            bytes.extend(&tag[..TAG_BYTES]);
             bytes
         };
         for _ in 0..50_000 {
-            let mut bytes = good[..good.len() - TAG].to_vec();
+            let mut bytes = good[..good.len() - TAG_BYTES].to_vec();
             for _ in 0..rng.usize(1..6) {
-                let at = rng.usize(HEAD..bytes.len());
+                let at = rng.usize(HEADER_BYTES..bytes.len());
                 bytes[at] = rng.u8(..);
             }
-            bytes.truncate(rng.usize(HEAD..=bytes.len()));
+            bytes.truncate(rng.usize(HEADER_BYTES..=bytes.len()));
             // It ends, with a bounded packet or none.
             if let Ok(packet) = keys.open(&signed(bytes)) {
-                assert!(bounded(&packet));
+                assert!(names_fit(&packet));
             }
         }
         let Packet::Message { cookie, session, number, mut message } = packet() else { unreachable!() };
-        message.from = "x".repeat(MOST_NAME + 1).into();
+        message.from = "x".repeat(MAX_NAME_BYTES + 1).into();
         let long = Packet::Message { cookie, session, number, message };
-        assert_eq!(keys.open(&keys.seal(&long).expect("it fits")), Err(Bad::Form));
+        assert_eq!(keys.open(&keys.seal(&long).expect("it fits")), Err(DatagramError::Malformed));
     }
 }
--- a/fleet/src/shell.rs
+++ b/fleet/src/shell.rs
@@ -14,13 +14,13 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{Instant, sleep_until};
 
-use crate::channel::{Channel, Heard};
-use crate::grants::{self, Grants, Said};
-use crate::message::{Fact, Keys, Kind, MOST_DATAGRAM, Message, Name, State};
+use crate::channel::{Channel, Received};
+use crate::grants::{self, GrantMessage, Grants};
+use crate::message::{Fact, Keys, Kind, MAX_DATAGRAM_BYTES, Message, Name, State};
 use crate::swim::{Change, Output, Settings, Swim};
 
 /// Whom to be, and whom to ask first.
-pub struct Start {
+pub struct FleetConfig {
     /// This instance's name; no other may have it.
     pub name: Name,
     /// Its zone.
@@ -28,7 +28,7 @@
     /// Where it listens.
     pub bind: SocketAddr,
     /// Where others reach it, if not there.
-    pub announced: Option<SocketAddr>,
+    pub advertised: Option<SocketAddr>,
     /// Some that are there, if any.
     pub seeds: Vec<SocketAddr>,
     /// The keys.
@@ -44,28 +44,28 @@
     swim: Swim,
     budgets: BTreeMap<Name, Grants>,
     /// What this instance wants of each.
-    wants: BTreeMap<Name, u64>,
+    demands: BTreeMap<Name, u64>,
     /// When votes and grants are looked at next.
-    next: Micros,
+    next_grants_at: Micros,
 }
 
 /// An instance's part in its fleet, until it leaves.
 pub struct Fleet {
     inner: RefCell<Inner>,
     socket: UdpSocket,
-    at: SocketAddr,
-    start: Instant,
+    local_addr: SocketAddr,
+    started_at: Instant,
     wake: Notify,
     changed: Notify,
     /// Between two looks at votes and grants.
-    pause: Micros,
+    grant_interval: Micros,
     task: Cell<Option<AbortHandle>>,
     unsent: Cell<u64>,
 }
 
 /// One instance, as this one sees it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Row {
+pub struct MemberStatus {
     /// Its name.
     pub name: Name,
     /// Where it is.
@@ -80,38 +80,40 @@
 
 impl Fleet {
     /// Joins.
-    pub async fn start(start: Start) -> io::Result<Rc<Fleet>> {
-        let socket = UdpSocket::bind(start.bind).await?;
-        let at = socket.local_addr()?;
+    pub async fn start(config: FleetConfig) -> io::Result<Rc<Fleet>> {
+        let socket = UdpSocket::bind(config.bind).await?;
+        let local_addr = socket.local_addr()?;
         let mut secret = [0; 32];
         getrandom::fill(&mut secret).map_err(|e| io::Error::other(e.to_string()))?;
-        let mut channel = Channel::new(start.keys, secret);
-        let who = (start.name.clone(), start.announced.unwrap_or(at), start.zone);
+        let mut channel = Channel::new(config.keys, secret);
+        let identity = (config.name.clone(), config.advertised.unwrap_or(local_addr), config.zone);
         // Only a guess: whoever comes back learns what its life before had come to.
         let incarnation =
             std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         let incarnation = incarnation.as_micros() as u64;
-        let swim = Swim::new(0, who, incarnation, start.seeds, start.settings, channel.draw());
-        let life = channel.draw();
-        let pause = start.budgets.values().map(|b| b.grant / 4).min().unwrap_or(start.settings.period);
-        let budgets = start.budgets.into_iter();
-        let budgets = budgets.map(|(name, s)| (name, Grants::new(0, start.name.clone(), life, s))).collect();
-        let inner = Inner { channel, swim, budgets, wants: BTreeMap::new(), next: 0 };
+        let swim = Swim::new(0, identity, incarnation, config.seeds, config.settings, channel.random_u64());
+        let run_id = channel.random_u64();
+        let grant_interval =
+            config.budgets.values().map(|b| b.grant_duration / 4).min().unwrap_or(config.settings.period);
+        let budgets = config.budgets.into_iter();
+        let budgets =
+            budgets.map(|(name, s)| (name, Grants::new(0, config.name.clone(), run_id, s))).collect();
+        let inner = Inner { channel, swim, budgets, demands: BTreeMap::new(), next_grants_at: 0 };
         let fleet = Rc::new(Fleet {
             inner: RefCell::new(inner),
             socket,
-            at,
-            start: Instant::now(),
+            local_addr,
+            started_at: Instant::now(),
             wake: Notify::new(),
             changed: Notify::new(),
-            pause: pause.max(1_000),
+            grant_interval: grant_interval.max(1_000),
             task: Cell::default(),
             unsent: Cell::default(),
         });
         let this = fleet.clone();
         let task = spawn_local(async move {
             loop {
-                this.turn().await;
+                this.run_once().await;
             }
         });
         fleet.task.set(Some(task.abort_handle()));
@@ -119,22 +121,22 @@
     }
 
     fn now(&self) -> Micros {
-        self.start.elapsed().as_micros() as Micros
+        self.started_at.elapsed().as_micros() as Micros
     }
 
     /// Where it listens.
-    pub fn at(&self) -> SocketAddr {
-        self.at
+    pub fn local_addr(&self) -> SocketAddr {
+        self.local_addr
     }
 
     /// Waits until somebody has answered, for as long at the most; whether somebody has.
-    pub async fn joined(&self, within: Duration) -> bool {
+    pub async fn wait_joined(&self, timeout: Duration) -> bool {
         let joined = async {
-            while !self.inner.borrow().swim.joined() {
+            while !self.inner.borrow().swim.is_joined() {
                 self.changed().await;
             }
         };
-        tokio::time::timeout(within, joined).await.is_ok()
+        tokio::time::timeout(timeout, joined).await.is_ok()
     }
 
     /// Waits until who is there, or what is granted, may be different.
@@ -143,17 +145,17 @@
     }
 
     /// All, this one first.
-    pub fn rows(&self) -> Vec<Row> {
+    pub fn members(&self) -> Vec<MemberStatus> {
         let (inner, now) = (self.inner.borrow(), self.now());
-        let me = inner.swim.me();
-        let first = Row {
+        let me = inner.swim.local();
+        let first = MemberStatus {
             name: me.name.clone(),
             address: me.address,
             zone: me.zone.clone(),
             state: me.state,
-            since: self.start.elapsed(),
+            since: self.started_at.elapsed(),
         };
-        let others = inner.swim.members().map(|m| Row {
+        let others = inner.swim.members().map(|m| MemberStatus {
             name: m.update.name.clone(),
             address: m.update.address,
             zone: m.update.zone.clone(),
@@ -164,47 +166,47 @@
     }
 
     /// How many there are, this one among them: that answer, and that may be sending to upstreams.
-    pub fn count(&self) -> (usize, usize) {
+    pub fn instance_counts(&self) -> (usize, usize) {
         let inner = self.inner.borrow();
-        (inner.swim.alive(), inner.swim.sending())
+        (inner.swim.alive_count(), inner.swim.sending_count())
     }
 
     /// This one's place among those that may be sending, from 0.
-    pub fn place(&self) -> usize {
-        self.inner.borrow().swim.place()
+    pub fn rank(&self) -> usize {
+        self.inner.borrow().swim.rank()
     }
 
     /// Datagrams that were not heard, and those that were not sent: for want of bytes, or because the socket would not.
-    pub fn lost(&self) -> (u64, u64) {
+    pub fn datagram_losses(&self) -> (u64, u64) {
         let inner = self.inner.borrow();
-        (inner.channel.refused, inner.swim.held_back + self.unsent.get())
+        (inner.channel.rejected, inner.swim.throttled_sends + self.unsent.get())
     }
 
     /// What this instance may use of a limit that all share; none for one that is not known.
-    pub fn may(&self, budget: &str) -> Option<u64> {
-        self.inner.borrow().budgets.get(budget).map(|grants| grants.may(self.now()))
+    pub fn allowance(&self, budget: &str) -> Option<u64> {
+        self.inner.borrow().budgets.get(budget).map(|grants| grants.allowance(self.now()))
     }
 
     /// Whether this instance hands a limit out.
-    pub fn keeps(&self, budget: &str) -> bool {
-        self.inner.borrow().budgets.get(budget).is_some_and(|grants| grants.keeps(self.now()))
+    pub fn is_coordinator(&self, budget: &str) -> bool {
+        self.inner.borrow().budgets.get(budget).is_some_and(|grants| grants.is_coordinator(self.now()))
     }
 
     /// What it would use of it, if it might.
-    pub fn wants(&self, budget: &Name, amount: u64) {
-        self.inner.borrow_mut().wants.insert(budget.clone(), amount);
+    pub fn set_demand(&self, budget: &Name, demand: u64) {
+        self.inner.borrow_mut().demands.insert(budget.clone(), demand);
     }
 
     /// Something that this instance has seen and all should know.
-    pub fn see(&self, fact: Fact) {
+    pub fn record_fact(&self, fact: Fact) {
         let now = self.now();
-        self.inner.borrow_mut().swim.see(now, fact);
-        self.carry_out(now);
+        self.inner.borrow_mut().swim.record_fact(now, fact);
+        self.process_outputs(now);
     }
 
     /// The nodes of a pool that drain by the word of others, for a source that has come to a revision.
-    pub fn draining(&self, pool: &Name, revision: u64) -> Vec<Name> {
-        self.inner.borrow().swim.known().draining(pool, revision)
+    pub fn draining_nodes(&self, pool: &Name, revision: u64) -> Vec<Name> {
+        self.inner.borrow().swim.facts().draining_nodes(pool, revision)
     }
 
     /// Other keys from now on.
@@ -216,34 +218,34 @@
     pub fn leave(&self) {
         let now = self.now();
         self.inner.borrow_mut().swim.leave(now);
-        self.carry_out(now);
+        self.process_outputs(now);
         if let Some(task) = self.task.take() {
             task.abort();
         }
     }
 
-    async fn turn(&self) {
+    async fn run_once(&self) {
         let due = {
             let inner = self.inner.borrow();
-            let grants = if inner.budgets.is_empty() { Micros::MAX } else { inner.next };
-            inner.swim.due().min(grants)
+            let grants = if inner.budgets.is_empty() { Micros::MAX } else { inner.next_grants_at };
+            inner.swim.next_deadline().min(grants)
         };
-        let at = self.start + Duration::from_micros(due.min(self.now() + 3_600_000_000));
-        let mut bytes = [0; MOST_DATAGRAM + 1];
+        let wake_at = self.started_at + Duration::from_micros(due.min(self.now() + 3_600_000_000));
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         tokio::select! {
             // An error is what a peer that is not there any more sends back (ICMP); there is nothing to be done.
             received = self.socket.recv_from(&mut bytes) => if let Ok((length, from)) = received {
-                self.heard(from, &bytes[..length]);
+                self.handle_datagram(from, &bytes[..length]);
             },
-            () = sleep_until(at) => {}
+            () = sleep_until(wake_at) => {}
             () = self.wake.notified() => {}
         }
         let now = self.now();
-        if self.inner.borrow().swim.due() <= now {
-            self.inner.borrow_mut().swim.ring(now);
+        if self.inner.borrow().swim.next_deadline() <= now {
+            self.inner.borrow_mut().swim.on_timer(now);
         }
-        self.share(now);
-        self.carry_out(now);
+        self.renew_grants(now);
+        self.process_outputs(now);
     }
 
     fn send(&self, to: SocketAddr, datagram: Option<Vec<u8>>) {
@@ -252,57 +254,64 @@
         self.unsent.set(self.unsent.get() + u64::from(!sent));
     }
 
-    fn heard(&self, from: SocketAddr, bytes: &[u8]) {
+    fn handle_datagram(&self, from: SocketAddr, bytes: &[u8]) {
         let now = self.now();
         let heard = self.inner.borrow_mut().channel.open(now, from, bytes);
         match heard {
-            Heard::Message(message) => {
-                if let Kind::Grants(budget, said) = &message.kind {
-                    self.grants(now, from, &message.from, budget, *said);
+            Received::Message(message) => {
+                if let Kind::Grants(budget, grant) = &message.kind {
+                    self.handle_grant_message(now, from, &message.from, budget, *grant);
                 }
-                self.inner.borrow_mut().swim.heard(now, from, message);
+                self.inner.borrow_mut().swim.handle_message(now, from, message);
             }
-            Heard::Reply(bytes) => self.send(from, Some(bytes)),
-            Heard::Bad(why) => {
+            Received::Reply(bytes) => self.send(from, Some(bytes)),
+            Received::Invalid(why) => {
                 tell!(FLEET_REFUSED, from = %from, why = %why; "fleet: {from}: {why}");
             }
-            Heard::Nothing => {}
+            Received::Ignored => {}
         }
     }
 
-    fn grants(&self, now: Micros, from: SocketAddr, by: &Name, budget: &Name, said: Said) {
+    fn handle_grant_message(
+        &self,
+        now: Micros,
+        from: SocketAddr,
+        by: &Name,
+        budget: &Name,
+        message: GrantMessage,
+    ) {
         let answer = {
             let mut inner = self.inner.borrow_mut();
-            inner.budgets.get_mut(budget).and_then(|grants| grants.heard(now, by, said))
+            inner.budgets.get_mut(budget).and_then(|grants| grants.handle_message(now, by, message))
         };
         if let Some(answer) = answer {
-            self.say(now, from, budget, answer);
+            self.send_grant_message(now, from, budget, answer);
         }
-        if matches!(said, Said::Grant(..)) {
+        if matches!(message, GrantMessage::Grant(..)) {
             self.changed.notify_one();
         }
     }
 
-    fn say(&self, now: Micros, to: SocketAddr, budget: &Name, said: Said) {
+    fn send_grant_message(&self, now: Micros, to: SocketAddr, budget: &Name, message: GrantMessage) {
         let datagram = {
             let mut inner = self.inner.borrow_mut();
-            let (from, kind) = (inner.swim.me().name.clone(), Kind::Grants(budget.clone(), said));
+            let (from, kind) = (inner.swim.local().name.clone(), Kind::Grants(budget.clone(), message));
             inner.channel.seal(now, to, Message { from, kind, updates: Vec::new(), facts: Vec::new() })
         };
         self.send(to, datagram);
     }
 
     /// Asks for grants, and for votes where this is the first by name of those that answer.
-    fn share(&self, now: Micros) {
-        if now < self.inner.borrow().next || self.inner.borrow().swim.silent() {
+    fn renew_grants(&self, now: Micros) {
+        if now < self.inner.borrow().next_grants_at || self.inner.borrow().swim.is_silent() {
             return;
         }
-        let mut say = Vec::new();
+        let mut outgoing = Vec::new();
         {
             let mut inner = self.inner.borrow_mut();
             let inner = &mut *inner;
-            inner.next = now + self.pause;
-            let me = inner.swim.me().name.clone();
+            inner.next_grants_at = now + self.grant_interval;
+            let me = inner.swim.local().name.clone();
             let alive: Vec<(&Name, SocketAddr)> = inner
                 .swim
                 .members()
@@ -311,38 +320,40 @@
                 .collect();
             let first = alive.first().filter(|(name, _)| **name < me);
             for (budget, grants) in &mut inner.budgets {
-                let wants = inner.wants.get(budget).copied().unwrap_or(0);
+                let demand = inner.demands.get(budget).copied().unwrap_or(0);
                 match first {
-                    Some((_, keeper)) => say.push((*keeper, budget.clone(), grants.ask(now, wants))),
+                    Some((_, coordinator)) => {
+                        outgoing.push((*coordinator, budget.clone(), grants.request_grant(now, demand)))
+                    }
                     None => {
-                        if grants.should_canvass(now) {
-                            let vote = grants.canvass(now);
-                            say.extend(alive.iter().map(|(_, to)| (*to, budget.clone(), vote)));
+                        if grants.should_request_votes(now) {
+                            let vote = grants.request_votes(now);
+                            outgoing.extend(alive.iter().map(|(_, to)| (*to, budget.clone(), vote)));
                         }
-                        let ask = grants.ask(now, wants);
-                        if let Some(grant) = grants.heard(now, &me, ask) {
-                            grants.heard(now, &me, grant);
+                        let ask = grants.request_grant(now, demand);
+                        if let Some(grant) = grants.handle_message(now, &me, ask) {
+                            grants.handle_message(now, &me, grant);
                         }
                     }
                 }
             }
         }
-        for (to, budget, said) in say {
-            self.say(now, to, &budget, said);
+        for (to, budget, message) in outgoing {
+            self.send_grant_message(now, to, &budget, message);
         }
         self.changed.notify_one();
     }
 
-    fn carry_out(&self, now: Micros) {
+    fn process_outputs(&self, now: Micros) {
         loop {
-            let Some(output) = self.inner.borrow_mut().swim.output() else { return };
+            let Some(output) = self.inner.borrow_mut().swim.next_output() else { return };
             match output {
                 Output::Send(to, message) => {
                     let datagram = self.inner.borrow_mut().channel.seal(now, to, message);
                     self.send(to, datagram);
                 }
-                Output::Told(change) => {
-                    said(&change);
+                Output::Changed(change) => {
+                    log_change(&change);
                     self.changed.notify_one();
                 }
             }
@@ -350,13 +361,13 @@
     }
 }
 
-fn said(change: &Change) {
+fn log_change(change: &Change) {
     match change {
-        Change::Came(name) => tell!(FLEET_CAME, instance = %name; "fleet: {name} is there"),
+        Change::Joined(name) => tell!(FLEET_CAME, instance = %name; "fleet: {name} is there"),
         Change::Suspected(name) => tell!(FLEET_SUSPECTED, instance = %name; "fleet: {name} does not answer"),
         Change::Died(name) => tell!(FLEET_DIED, instance = %name; "fleet: {name} is held for dead"),
         Change::Left(name) => tell!(FLEET_LEFT, instance = %name; "fleet: {name} has left"),
-        Change::Twin(at, silent) => {
+        Change::NameConflict(at, silent) => {
             let what = if *silent { "this one falls silent" } else { "this one goes on" };
             tell!(FLEET_TWIN, at = %at; "fleet: {at} has this instance's name; {what}");
         }
--- a/fleet/tests/grants.rs
+++ b/fleet/tests/grants.rs
@@ -5,48 +5,48 @@
 use std::collections::HashSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use sloeline_fleet::grants::{Grants, Said, Settings};
+use sloeline_fleet::grants::{GrantMessage, Grants, Settings};
 use sloeline_fleet::message::Name;
 
 /// A tick is a microsecond.
 const fn settings(term: u64) -> Settings {
-    Settings { limit: 2, shared: 0, most: 3, term, grant: 2 }
+    Settings { limit: 2, guaranteed: 0, max_instances: 3, vote_term: term, grant_duration: 2 }
 }
-const ALL: usize = 3;
+const INSTANCES: usize = 3;
 
 /// What may happen in a history.
 #[derive(Clone, Copy)]
 struct Depth {
-    canvasses: u8,
-    asks: u8,
-    deaths: u8,
+    vote_requests: u8,
+    grant_requests: u8,
+    restarts: u8,
     ticks: u64,
     term: u64,
 }
 
 /// A defence that is taken out.
 #[derive(Clone, Copy, PartialEq)]
-enum Without {
+enum Disabled {
     Nothing,
     /// A voter that comes back lends its vote at once.
-    Rest,
+    VoterRestartDelay,
     /// A keeper that comes back is the same life.
-    Life,
+    FreshRunId,
     /// A grant counts from when it arrives.
-    Question,
+    RequestTimeBase,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct World {
     now: u64,
-    all: Vec<Grants>,
-    asked: [u64; ALL],
+    instances: Vec<Grants>,
+    requested_at: [u64; INSTANCES],
     /// From, to, what. An order of arrival is not kept.
-    out: Vec<(usize, usize, Said)>,
-    canvasses: u8,
-    asks: u8,
-    deaths: u8,
-    lives: u64,
+    in_flight: Vec<(usize, usize, GrantMessage)>,
+    vote_requests: u8,
+    grant_requests: u8,
+    restarts: u8,
+    last_run: u64,
 }
 
 fn name(of: usize) -> Name {
@@ -54,24 +54,24 @@
 }
 
 impl World {
-    fn send(&mut self, from: usize, to: usize, said: Said) {
-        self.out.push((from, to, said));
-        self.out.sort_unstable();
+    fn send(&mut self, from: usize, to: usize, message: GrantMessage) {
+        self.in_flight.push((from, to, message));
+        self.in_flight.sort_unstable();
     }
 
     /// Whether it changes nothing when a message arrives. To be lost is then the same, and what never arrives is tried anyway.
-    fn idle(&self, from: usize, to: usize, said: Said) -> bool {
-        let mut one = self.all[to].clone();
-        one.heard(self.now, &name(from), said).is_none() && one == self.all[to]
+    fn has_no_effect(&self, from: usize, to: usize, message: GrantMessage) -> bool {
+        let mut instance = self.instances[to].clone();
+        instance.handle_message(self.now, &name(from), message).is_none() && instance == self.instances[to]
     }
 
-    fn deliver(&mut self, from: usize, to: usize, mut said: Said, without: Without) {
-        if let (Without::Question, Said::Grant(_, _, lasts)) = (without, &mut said) {
-            *lasts += self.now - self.asked[to];
+    fn deliver(&mut self, from: usize, to: usize, mut message: GrantMessage, disabled: Disabled) {
+        if let (Disabled::RequestTimeBase, GrantMessage::Grant(_, _, duration)) = (disabled, &mut message) {
+            *duration += self.now - self.requested_at[to];
         }
-        if let Some(answer) = self.all[to].heard(self.now, &name(from), said) {
+        if let Some(answer) = self.instances[to].handle_message(self.now, &name(from), message) {
             if from == to {
-                self.all[to].heard(self.now, &name(to), answer);
+                self.instances[to].handle_message(self.now, &name(to), answer);
             } else {
                 self.send(to, from, answer);
             }
@@ -79,7 +79,7 @@
     }
 
     /// All that may happen next.
-    fn next(&self, depth: Depth, without: Without) -> Vec<(String, World)> {
+    fn next(&self, depth: Depth, disabled: Disabled) -> Vec<(String, World)> {
         let mut next = Vec::new();
         let mut then = |what: String, change: &dyn Fn(&mut World)| {
             let mut world = self.clone();
@@ -89,40 +89,48 @@
         if self.now < depth.term + depth.ticks {
             then("a tick".to_owned(), &|world| world.now += 1);
         }
-        for (at, &(from, to, said)) in self.out.iter().enumerate() {
-            if self.idle(from, to, said) {
+        for (at, &(from, to, message)) in self.in_flight.iter().enumerate() {
+            if self.has_no_effect(from, to, message) {
                 continue;
             }
-            then(format!("{from} to {to} arrives: {said:?}"), &|world| {
-                world.out.remove(at);
-                world.deliver(from, to, said, without);
+            then(format!("{from} to {to} arrives: {message:?}"), &|world| {
+                world.in_flight.remove(at);
+                world.deliver(from, to, message, disabled);
             });
         }
-        for of in 0..ALL {
+        for of in 0..INSTANCES {
             // Both that ask for votes are enough for every quarrel.
-            if self.canvasses < depth.canvasses && of < 2 {
-                then(format!("{of} canvasses"), &|world| {
-                    world.canvasses += 1;
-                    let said = world.all[of].canvass(world.now);
-                    (0..ALL).filter(|to| *to != of).for_each(|to| world.send(of, to, said));
+            if self.vote_requests < depth.vote_requests && of < 2 {
+                then(format!("{of} requests votes"), &|world| {
+                    world.vote_requests += 1;
+                    let message = world.instances[of].request_votes(world.now);
+                    (0..INSTANCES).filter(|to| *to != of).for_each(|to| world.send(of, to, message));
                 });
             }
             // One of them, and the one who only asks.
-            for to in (0..2).filter(|_| self.asks < depth.asks && of != 1) {
+            for to in (0..2).filter(|_| self.grant_requests < depth.grant_requests && of != 1) {
                 then(format!("{of} asks {to}"), &|world| {
-                    world.asks += 1;
-                    world.asked[of] = world.now;
-                    let said = world.all[of].ask(world.now, 2);
-                    if of == to { world.deliver(of, to, said, without) } else { world.send(of, to, said) }
+                    world.grant_requests += 1;
+                    world.requested_at[of] = world.now;
+                    let message = world.instances[of].request_grant(world.now, 2);
+                    if of == to {
+                        world.deliver(of, to, message, disabled)
+                    } else {
+                        world.send(of, to, message)
+                    }
                 });
             }
-            if self.deaths < depth.deaths {
-                then(format!("{of} dies and comes back"), &|world| {
-                    world.deaths += 1;
-                    world.lives += 1;
-                    let life = if without == Without::Life { 1000 * of as u64 } else { 1000 * world.lives };
-                    let started = if without == Without::Rest { 0 } else { world.now };
-                    world.all[of] = Grants::new(started, name(of), life, settings(depth.term));
+            if self.restarts < depth.restarts {
+                then(format!("{of} restarts"), &|world| {
+                    world.restarts += 1;
+                    world.last_run += 1;
+                    let run_id = if disabled == Disabled::FreshRunId {
+                        1000 * of as u64
+                    } else {
+                        1000 * world.last_run
+                    };
+                    let started = if disabled == Disabled::VoterRestartDelay { 0 } else { world.now };
+                    world.instances[of] = Grants::new(started, name(of), run_id, settings(depth.term));
                 });
             }
         }
@@ -131,7 +139,7 @@
 }
 
 /// A state by 128 bits: two that share them are not to be expected among so few.
-fn mark(world: &World) -> u128 {
+fn fingerprint(world: &World) -> u128 {
     let half = |salt: u64| {
         let mut hasher = DefaultHasher::new();
         salt.hash(&mut hasher);
@@ -142,45 +150,46 @@
 }
 
 /// Tries all; how many states there are, or the history that breaks the limit.
-fn search(depth: Depth, without: Without) -> Result<usize, Vec<String>> {
-    let all = (0..ALL).map(|of| Grants::new(0, name(of), 1000 * of as u64, settings(depth.term))).collect();
+fn search(depth: Depth, disabled: Disabled) -> Result<usize, Vec<String>> {
+    let all =
+        (0..INSTANCES).map(|of| Grants::new(0, name(of), 1000 * of as u64, settings(depth.term))).collect();
     let first = World {
         now: depth.term,
-        all,
-        asked: [0; ALL],
-        out: Vec::new(),
-        canvasses: 0,
-        asks: 0,
-        deaths: 0,
-        lives: 9,
+        instances: all,
+        requested_at: [0; INSTANCES],
+        in_flight: Vec::new(),
+        vote_requests: 0,
+        grant_requests: 0,
+        restarts: 0,
+        last_run: 9,
     };
     let (mut seen, mut path) = (HashSet::new(), Vec::new());
-    seen.insert(mark(&first));
-    let mut stack = vec![(String::new(), first.next(depth, without))];
+    seen.insert(fingerprint(&first));
+    let mut stack = vec![(String::new(), first.next(depth, disabled))];
     while let Some((_, left)) = stack.last_mut() {
         let Some((what, world)) = left.pop() else {
             stack.pop();
             path.pop();
             continue;
         };
-        let granted: u64 = world.all.iter().map(|one| one.held(world.now)).sum();
-        if granted > settings(depth.term).handed_out() {
+        let granted: u64 = world.instances.iter().map(|instance| instance.granted(world.now)).sum();
+        if granted > settings(depth.term).grantable() {
             path.push(what);
             return Err(path);
         }
         let mut world = world;
         // Answers to old questions are never heard any more.
-        let all = &world.all;
-        world.out.retain(|(from, to, said)| match said {
-            Said::Lent(_) | Said::Grant(..) => {
-                let mut one = all[*to].clone();
-                one.heard(world.now, &name(*from), *said);
-                one != all[*to]
+        let all = &world.instances;
+        world.in_flight.retain(|(from, to, message)| match message {
+            GrantMessage::Lent(_) | GrantMessage::Grant(..) => {
+                let mut instance = all[*to].clone();
+                instance.handle_message(world.now, &name(*from), *message);
+                instance != all[*to]
             }
             _ => true,
         });
-        if seen.insert(mark(&world)) {
-            let next = world.next(depth, without);
+        if seen.insert(fingerprint(&world)) {
+            let next = world.next(depth, disabled);
             path.push(what.clone());
             stack.push((what, next));
         }
@@ -188,13 +197,13 @@
     Ok(seen.len())
 }
 
-fn holds(cases: &[(Depth, usize)]) {
-    for (depth, least) in cases {
+fn assert_limit_holds(cases: &[(Depth, usize)]) {
+    for (depth, min_states) in cases {
         let begun = std::time::Instant::now();
-        match search(*depth, Without::Nothing) {
+        match search(*depth, Disabled::Nothing) {
             Ok(states) => {
                 println!("{states} states, {:?}", begun.elapsed());
-                assert!(states > *least, "{states}: too few to show anything");
+                assert!(states > *min_states, "{states}: too few states explored");
             }
             Err(history) => panic!("{history:#?}"),
         }
@@ -202,42 +211,42 @@
 }
 
 #[test]
-fn in_no_history_is_more_granted_than_there_is() {
-    holds(&[
+fn the_limit_holds_in_every_history() {
+    assert_limit_holds(&[
         // Two who would be keeper, all who ask them both, and a term that ends.
-        (Depth { canvasses: 2, asks: 2, deaths: 0, ticks: 2, term: 2 }, 100_000),
+        (Depth { vote_requests: 2, grant_requests: 2, restarts: 0, ticks: 2, term: 2 }, 100_000),
         // One dies at any moment.
-        (Depth { canvasses: 2, asks: 2, deaths: 1, ticks: 0, term: 2 }, 10_000),
+        (Depth { vote_requests: 2, grant_requests: 2, restarts: 1, ticks: 0, term: 2 }, 10_000),
         // Answers that are late.
-        (Depth { canvasses: 1, asks: 2, deaths: 0, ticks: 3, term: 3 }, 100_000),
+        (Depth { vote_requests: 1, grant_requests: 2, restarts: 0, ticks: 3, term: 3 }, 100_000),
     ]);
 }
 
 /// Minutes and some gigabytes: `cargo test --release -p sloeline-fleet --test grants -- --ignored --nocapture`.
 #[test]
 #[ignore = "long"]
-fn in_no_longer_history_either() {
-    holds(&[
-        (Depth { canvasses: 2, asks: 2, deaths: 0, ticks: 4, term: 2 }, 1_000_000),
-        (Depth { canvasses: 2, asks: 2, deaths: 1, ticks: 1, term: 2 }, 1_000_000),
-        (Depth { canvasses: 1, asks: 3, deaths: 0, ticks: 3, term: 2 }, 1_000_000),
+fn the_limit_holds_in_longer_histories() {
+    assert_limit_holds(&[
+        (Depth { vote_requests: 2, grant_requests: 2, restarts: 0, ticks: 4, term: 2 }, 1_000_000),
+        (Depth { vote_requests: 2, grant_requests: 2, restarts: 1, ticks: 1, term: 2 }, 1_000_000),
+        (Depth { vote_requests: 1, grant_requests: 3, restarts: 0, ticks: 3, term: 2 }, 1_000_000),
     ]);
 }
 
 #[test]
-fn each_defence_that_is_taken_out_is_missed() {
-    let deaths = Depth { canvasses: 2, asks: 2, deaths: 1, ticks: 0, term: 2 };
+fn without_any_one_safeguard_the_limit_breaks() {
+    let restarts = Depth { vote_requests: 2, grant_requests: 2, restarts: 1, ticks: 0, term: 2 };
     let cases = [
-        ("a voter's rest", Without::Rest, deaths),
-        ("a keeper's life", Without::Life, deaths),
+        ("voter restart delay", Disabled::VoterRestartDelay, restarts),
+        ("fresh run id", Disabled::FreshRunId, restarts),
         (
-            "the question's time",
-            Without::Question,
-            Depth { canvasses: 1, asks: 2, deaths: 0, ticks: 3, term: 3 },
+            "request time base",
+            Disabled::RequestTimeBase,
+            Depth { vote_requests: 1, grant_requests: 2, restarts: 0, ticks: 3, term: 3 },
         ),
     ];
-    for (what, without, depth) in cases {
-        let history = search(depth, without).expect_err(what);
+    for (what, disabled, depth) in cases {
+        let history = search(depth, disabled).expect_err(what);
         println!("{what}: {history:#?}");
     }
 }
--- a/fleet/tests/world/mod.rs
+++ b/fleet/tests/world/mod.rs
@@ -6,41 +6,41 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
 
-use sloeline_fleet::message::{Message, Name, State, size};
+use sloeline_fleet::message::{Message, Name, State, encoded_size};
 use sloeline_fleet::swim::{Change, Output, Settings, Swim};
 
 pub const SECOND: u64 = 1_000_000;
 /// Bytes around a message on the wire.
-const AROUND: u64 = 80;
+const PACKET_OVERHEAD_BYTES: u64 = 80;
 
 enum Event {
-    Ring(usize, u32),
-    Arrives(usize, SocketAddr, Box<Message>),
+    Timer(usize, u32),
+    Delivery(usize, SocketAddr, Box<Message>),
 }
 
-pub struct One {
+pub struct Instance {
     pub swim: Option<Swim>,
     /// Lives so far: what was meant for one before rings nobody.
-    life: u32,
-    rings_at: u64,
-    pub bytes: u64,
+    run: u32,
+    timer_at: u64,
+    pub sent_bytes: u64,
     /// Most bytes in any second, and in the present one.
-    pub most: u64,
-    second: (u64, u64),
+    pub peak_bytes: u64,
+    current_second: (u64, u64),
 }
 
 pub struct World {
     pub now: u64,
-    pub all: Vec<One>,
+    pub instances: Vec<Instance>,
     events: BinaryHeap<Reverse<(u64, u64)>>,
-    held: BTreeMap<u64, Event>,
-    next: u64,
+    pending: BTreeMap<u64, Event>,
+    next_event: u64,
     pub rng: fastrand::Rng,
     pub loss: f64,
     /// Whether a message from one reaches another.
     pub cut: Box<dyn Fn(usize, usize) -> bool>,
     /// What was told, when and by whom.
-    pub told: Vec<(u64, usize, Change)>,
+    pub changes: Vec<(u64, usize, Change)>,
     settings: Settings,
 }
 
@@ -52,7 +52,7 @@
     SocketAddr::from(([10, 0, (of >> 8) as u8, of as u8], 7946))
 }
 
-fn at(address: SocketAddr) -> usize {
+fn index_of(address: SocketAddr) -> usize {
     let SocketAddr::V4(v4) = address else { unreachable!() };
     let [_, _, high, low] = v4.ip().octets();
     usize::from(high) << 8 | usize::from(low)
@@ -63,18 +63,25 @@
     pub fn new(size: usize, settings: Settings, seed: u64) -> World {
         let mut world = World {
             now: 0,
-            all: Vec::new(),
+            instances: Vec::new(),
             events: BinaryHeap::new(),
-            held: BTreeMap::new(),
-            next: 0,
+            pending: BTreeMap::new(),
+            next_event: 0,
             rng: fastrand::Rng::with_seed(seed),
             loss: 0.0,
             cut: Box::new(|_, _| false),
-            told: Vec::new(),
+            changes: Vec::new(),
             settings,
         };
         for of in 0..size {
-            world.all.push(One { swim: None, life: 0, rings_at: 0, bytes: 0, most: 0, second: (0, 0) });
+            world.instances.push(Instance {
+                swim: None,
+                run: 0,
+                timer_at: 0,
+                sent_bytes: 0,
+                peak_bytes: 0,
+                current_second: (0, 0),
+            });
             world.start(of, name(of), 1);
         }
         world
@@ -83,116 +90,124 @@
     pub fn start(&mut self, of: usize, name: Name, incarnation: u64) {
         let seeds = (0..3).map(address).collect();
         let seed = self.rng.u64(..);
-        let who = (name, address(of), ["z0", "z1", "z2"][of % 3].into());
-        self.all[of].life += 1;
-        self.all[of].rings_at = u64::MAX;
-        self.all[of].swim = Some(Swim::new(self.now, who, incarnation, seeds, self.settings, seed));
-        self.after(of);
+        let identity = (name, address(of), ["z0", "z1", "z2"][of % 3].into());
+        self.instances[of].run += 1;
+        self.instances[of].timer_at = u64::MAX;
+        self.instances[of].swim =
+            Some(Swim::new(self.now, identity, incarnation, seeds, self.settings, seed));
+        self.process_outputs(of);
     }
 
     pub fn kill(&mut self, of: usize) {
-        self.all[of].swim = None;
+        self.instances[of].swim = None;
     }
 
-    fn file(&mut self, at: u64, event: Event) {
-        self.events.push(Reverse((at, self.next)));
-        self.held.insert(self.next, event);
-        self.next += 1;
+    fn schedule(&mut self, at: u64, event: Event) {
+        self.events.push(Reverse((at, self.next_event)));
+        self.pending.insert(self.next_event, event);
+        self.next_event += 1;
     }
 
     /// Carries out what an instance wants.
-    pub fn after(&mut self, of: usize) {
-        while let Some(output) = self.all[of].swim.as_mut().and_then(Swim::output) {
+    pub fn process_outputs(&mut self, of: usize) {
+        while let Some(output) = self.instances[of].swim.as_mut().and_then(Swim::next_output) {
             match output {
-                Output::Told(change) => self.told.push((self.now, of, change)),
+                Output::Changed(change) => self.changes.push((self.now, of, change)),
                 Output::Send(to, message) => {
-                    let (bytes, second) = (size(&message) as u64 + AROUND, self.now / SECOND);
-                    let one = &mut self.all[of];
-                    one.bytes += bytes;
-                    one.second =
-                        if one.second.0 == second { (second, one.second.1 + bytes) } else { (second, bytes) };
-                    one.most = one.most.max(one.second.1);
-                    let lost = self.rng.f64() < self.loss || (self.cut)(of, at(to));
-                    if !lost && at(to) < self.all.len() {
+                    let (bytes, second) =
+                        (encoded_size(&message) as u64 + PACKET_OVERHEAD_BYTES, self.now / SECOND);
+                    let instance = &mut self.instances[of];
+                    instance.sent_bytes += bytes;
+                    instance.current_second = if instance.current_second.0 == second {
+                        (second, instance.current_second.1 + bytes)
+                    } else {
+                        (second, bytes)
+                    };
+                    instance.peak_bytes = instance.peak_bytes.max(instance.current_second.1);
+                    let lost = self.rng.f64() < self.loss || (self.cut)(of, index_of(to));
+                    if !lost && index_of(to) < self.instances.len() {
                         let delay = self.rng.u64(500..5_000);
-                        let arrives = Event::Arrives(at(to), address(of), Box::new(message));
-                        self.file(self.now + delay, arrives);
+                        let arrives = Event::Delivery(index_of(to), address(of), Box::new(message));
+                        self.schedule(self.now + delay, arrives);
                     }
                 }
             }
         }
-        let one = &self.all[of];
-        let Some(due) = one.swim.as_ref().map(Swim::due) else { return };
+        let instance = &self.instances[of];
+        let Some(due) = instance.swim.as_ref().map(Swim::next_deadline) else { return };
         let due = due.max(self.now);
-        if due < one.rings_at {
-            let life = one.life;
-            self.all[of].rings_at = due;
-            self.file(due, Event::Ring(of, life));
+        if due < instance.timer_at {
+            let run = instance.run;
+            self.instances[of].timer_at = due;
+            self.schedule(due, Event::Timer(of, run));
         }
     }
 
     /// Lets time pass until then.
-    pub fn until(&mut self, end: u64) {
+    pub fn advance_to(&mut self, end: u64) {
         while let Some(Reverse((at, number))) =
             self.events.peek().copied().filter(|Reverse((at, _))| *at <= end)
         {
             self.events.pop();
             self.now = at;
-            let Some(event) = self.held.remove(&number) else { continue };
+            let Some(event) = self.pending.remove(&number) else { continue };
             let of = match event {
-                Event::Ring(of, life) if self.all[of].life != life => continue,
-                Event::Ring(of, _) => {
-                    self.all[of].rings_at = u64::MAX;
-                    if let Some(swim) = &mut self.all[of].swim {
-                        swim.ring(at);
+                Event::Timer(of, run) if self.instances[of].run != run => continue,
+                Event::Timer(of, _) => {
+                    self.instances[of].timer_at = u64::MAX;
+                    if let Some(swim) = &mut self.instances[of].swim {
+                        swim.on_timer(at);
                     }
                     of
                 }
-                Event::Arrives(of, from, message) => {
-                    if let Some(swim) = &mut self.all[of].swim {
-                        swim.heard(at, from, *message);
+                Event::Delivery(of, from, message) => {
+                    if let Some(swim) = &mut self.instances[of].swim {
+                        swim.handle_message(at, from, *message);
                     }
                     of
                 }
             };
-            self.after(of);
+            self.process_outputs(of);
         }
         self.now = end;
     }
 
     pub fn swim(&self, of: usize) -> &Swim {
-        self.all[of].swim.as_ref().expect("it lives")
+        self.instances[of].swim.as_ref().expect("instance is running")
     }
 
     /// How many of those that live hold one for that.
-    pub fn believe(&self, of: &Name, state: State) -> usize {
-        let lives = self.all.iter().filter_map(|one| one.swim.as_ref());
-        lives.filter(|swim| swim.members().any(|m| m.update.name == *of && m.update.state == state)).count()
+    pub fn count_in_state(&self, of: &Name, state: State) -> usize {
+        let running = self.instances.iter().filter_map(|instance| instance.swim.as_ref());
+        running.filter(|swim| swim.members().any(|m| m.update.name == *of && m.update.state == state)).count()
     }
 
     /// Whether all that live know all that live as alive.
-    pub fn agreed(&self) -> bool {
-        let lives = self.all.iter().filter(|one| one.swim.is_some()).count();
-        self.all
+    pub fn converged(&self) -> bool {
+        let running = self.instances.iter().filter(|instance| instance.swim.is_some()).count();
+        self.instances
             .iter()
-            .filter_map(|one| one.swim.as_ref())
-            .all(|swim| 1 + swim.members().filter(|m| m.update.state == State::Alive).count() == lives)
+            .filter_map(|instance| instance.swim.as_ref())
+            .all(|swim| 1 + swim.members().filter(|m| m.update.state == State::Alive).count() == running)
     }
 
     /// Lets time pass until that is so; how long it took, or nothing within the span.
-    pub fn until_so(&mut self, span: u64, so: impl Fn(&World) -> bool) -> Option<u64> {
+    pub fn run_until(&mut self, span: u64, condition: impl Fn(&World) -> bool) -> Option<u64> {
         let start = self.now;
         while self.now < start + span {
-            if so(self) {
+            if condition(self) {
                 return Some(self.now - start);
             }
-            self.until(self.now + SECOND / 10);
+            self.advance_to(self.now + SECOND / 10);
         }
         None
     }
 
     /// Deaths that were told of those that lived.
-    pub fn deaths(&self, since: u64) -> usize {
-        self.told.iter().filter(|(at, _, change)| *at >= since && matches!(change, Change::Died(_))).count()
+    pub fn deaths_since(&self, since: u64) -> usize {
+        self.changes
+            .iter()
+            .filter(|(at, _, change)| *at >= since && matches!(change, Change::Died(_)))
+            .count()
     }
 }
--- a/sloeline/src/daemon/fleet.rs
+++ b/sloeline/src/daemon/fleet.rs
@@ -10,8 +10,8 @@
 use sloeline_config::model::{Config, Fleet as Wanted, Seat};
 use sloeline_events::tell;
 use sloeline_fleet::grants;
-use sloeline_fleet::message::{Fact, Keys, MOST_NAME, Name, Seen, State};
-use sloeline_fleet::shell::{Fleet, Start};
+use sloeline_fleet::message::{Fact, Keys, MAX_NAME_BYTES, Name, Observation, State};
+use sloeline_fleet::shell::{Fleet, FleetConfig};
 use sloeline_fleet::swim;
 use sloeline_operations::auth::Secret;
 use tokio::sync::Notify;
@@ -80,7 +80,11 @@
                 for (node, drains) in drained.chain(back) {
                     // Names that are too long to be said are nobody else's business.
                     if let (Some(pool), Some(node)) = (key(pool, &source), said_name(node)) {
-                        self.fleet.see(Fact { pool, node, seen: Seen::Drain { revision, drains } });
+                        self.fleet.record_fact(Fact {
+                            pool,
+                            node,
+                            seen: Observation::Drain { revision, drains },
+                        });
                     }
                 }
             }
@@ -90,7 +94,7 @@
             // One that has told nothing yet is behind everything: nobody may slip through with its first list.
             let revision = self.said.get(&(pool.clone(), source.to_owned())).map_or(0, |said| said.revision);
             let Some(key) = key(pool, source) else { continue };
-            for node in self.fleet.draining(&key, revision) {
+            for node in self.fleet.draining_nodes(&key, revision) {
                 let of = (pool.clone(), node.to_string());
                 let since = self.kept_out.get(&of).copied().unwrap_or(now);
                 kept_out.insert(of, since);
@@ -114,7 +118,7 @@
 }
 
 fn said_name(text: &str) -> Option<Name> {
-    (1..=MOST_NAME).contains(&text.len()).then(|| text.into())
+    (1..=MAX_NAME_BYTES).contains(&text.len()).then(|| text.into())
 }
 
 /// What a source of a pool is known by to all.
@@ -141,10 +145,10 @@
         let limit = pool.fleet_rate?;
         let settings = grants::Settings {
             limit,
-            shared: limit / 2,
-            most: wanted.most,
-            term: TERM * wanted.period,
-            grant: GRANT * wanted.period,
+            guaranteed: limit / 2,
+            max_instances: wanted.most,
+            vote_term: TERM * wanted.period,
+            grant_duration: GRANT * wanted.period,
         };
         Some((Name::from(name.as_str()), settings))
     };
@@ -174,17 +178,17 @@
     /// Joins the fleet, where the configuration names one.
     pub(super) async fn join(&mut self) -> Result<(), String> {
         let Some(wanted) = self.config.fleet.clone() else { return Ok(()) };
-        let start = Start {
+        let start = FleetConfig {
             name: self.config.instance.name.as_str().into(),
             zone: self.config.instance.zone.as_str().into(),
             bind: wanted.address,
-            announced: wanted.announced,
+            advertised: wanted.announced,
             seeds: wanted.seeds.clone(),
             keys: keys(&wanted, &self.folder)?,
             settings: swim::Settings {
                 period: wanted.period,
-                patience: wanted.period * 3 / 10,
-                bytes: wanted.bytes as f64,
+                ack_timeout: wanted.period * 3 / 10,
+                bytes_per_second: wanted.bytes as f64,
                 ..swim::Settings::default()
             },
             budgets: budgets(&self.config, &wanted),
@@ -199,7 +203,7 @@
             told_out: BTreeSet::new(),
         };
         // What others know of drains comes before the first request, if anybody is there to tell it.
-        if !part.fleet.joined(time(JOINED * wanted.period)).await {
+        if !part.fleet.wait_joined(time(JOINED * wanted.period)).await {
             tell!(FLEET_ALONE; "fleet: nobody has answered yet; it goes on alone");
         }
         *self.part.borrow_mut() = Some(part);
@@ -244,7 +248,7 @@
         let own = config.instance.seat();
         let part = self.part.borrow();
         let Some(fleet) = part.as_ref().map(|part| &part.fleet) else { return own };
-        Seat { count: own.count.max(fleet.count().1 as u32), number: fleet.place() as u32 }
+        Seat { count: own.count.max(fleet.instance_counts().1 as u32), number: fleet.rank() as u32 }
     }
 
     /// Nodes that are kept out by the word of other instances, by pool.
@@ -273,7 +277,7 @@
         }
         for (name, running) in &self.pools {
             let pool = &running.pool;
-            let Some(may) = part.fleet.may(name) else { continue };
+            let Some(may) = part.fleet.allowance(name) else { continue };
             let (asked, now) = (pool.fleet.offered(), Instant::now());
             let share = part.shares.entry(name.clone()).or_insert(Share { asked, at: now, rate: 0.0 });
             let span = now.duration_since(share.at).as_secs_f64();
@@ -282,7 +286,7 @@
                 share.rate += LEARNED * (rate - share.rate);
                 (share.asked, share.at) = (asked, now);
             }
-            part.fleet.wants(&name.as_str().into(), (AHEAD * share.rate).ceil() as u64 + 1);
+            part.fleet.set_demand(&name.as_str().into(), (AHEAD * share.rate).ceil() as u64 + 1);
             pool.fleet.set(pool.engine.now(), None, Some(may as f64));
         }
     }
@@ -297,7 +301,7 @@
             State::Dead => "dead",
             State::Left => "left",
         };
-        let rows = part.fleet.rows().into_iter().map(|row| {
+        let rows = part.fleet.members().into_iter().map(|row| {
             json!({
                 "name": row.name.as_ref(),
                 "address": row.address.to_string(),
@@ -311,16 +315,16 @@
             json!({
                 "pool": name,
                 "of": self.config.pools.get(name).and_then(|pool| pool.fleet_rate),
-                "may": part.fleet.may(name),
+                "may": part.fleet.allowance(name),
                 "wants": share.rate.round(),
-                "keeps": part.fleet.keeps(name),
+                "keeps": part.fleet.is_coordinator(name),
             })
         });
         let limits: Vec<Value> = limits.collect();
-        let (alive, sending) = part.fleet.count();
-        let (unheard, unsent) = part.fleet.lost();
+        let (alive, sending) = part.fleet.instance_counts();
+        let (unheard, unsent) = part.fleet.datagram_losses();
         Ok(json!({
-            "address": part.fleet.at().to_string(),
+            "address": part.fleet.local_addr().to_string(),
             "alive": alive,
             "may_be_sending": sending,
             "counted": part.seat.count,
