--- a/fleet/benches/sizes.rs
+++ b/fleet/benches/sizes.rs
@@ -1,5 +1,6 @@
-//! A fleet at 40, 400 and 4,000 instances: how long it takes to meet, to know of a death, and what it sends; false alarms at
-//! 1% and 10% loss. Run by hand: `cargo bench -p sloeline-fleet`; with `-- 40 400` only those sizes.
+//! Simulates a fleet of 40, 400 and 4,000 instances: time to converge, time until a death is known, bytes sent, and
+//! false deaths at 1% and 10% message loss. Run it by hand: `cargo bench -p sloeline-fleet`; `-- 40 400` selects
+//! sizes.
 
 #[path = "../tests/world/mod.rs"]
 mod world;
--- a/fleet/src/channel.rs
+++ b/fleet/src/channel.rs
@@ -1,15 +1,16 @@
-//! Datagrams that are heard once and only while they are fresh, without a clock that anybody else would have to share.
+//! Replay protection for datagrams, without synchronized clocks.
 //!
-//! **Fresh.** Whoever is spoken to by a life (a *session*, drawn at random) that it does not know answers with a *cookie* and
-//! keeps nothing; the cookie is made of the session, the sender's address and a secret of this process and of the last ten
-//! minutes. Only a message that says the cookie is heard. What was recorded before this process began, or is older than the
-//! secret before the present one, says a cookie that nobody takes any more.
+//! **Freshness.** Each run of an instance draws a random *session*. A receiver that gets a message without a valid
+//! *cookie* answers with a cookie and stores nothing. The cookie is a keyed hash of the session, the sender's address
+//! and a secret of the receiver's process that changes every ten minutes. Only messages with a valid cookie are
+//! accepted. A datagram that was recorded before this process started, or before the previous secret, carries a cookie
+//! that is no longer valid.
 //!
-//! **Once.** Within a session numbers are heard once, by a window of the last [`WINDOW`]. A session is forgotten when it
-//! has been silent for longer than any cookie lasts.
+//! **At most once.** Within a session each message number is accepted once, by a sliding window over the last
+//! [`REPLAY_WINDOW`] numbers. A session is forgotten after it has been silent for longer than any cookie is valid.
 //!
-//! **Not too often.** A session is heard [`EACH_SECOND`] times a second; more are passed over, so that one that runs wild
-//! costs the others little.
+//! **Rate limit.** At most [`MAX_MESSAGES_PER_SECOND`] messages are accepted from a session; the rest are dropped, so
+//! that a misbehaving instance costs the others little.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,69 +19,72 @@
 
 use crate::message::{DatagramError, Keys, Message, Packet};
 
-/// How long a secret makes cookies; it takes them for as long again.
+/// Time for which a secret is used to create cookies. Its cookies stay valid for the same time afterwards.
 const SECRET_ROTATION_US: Micros = 600_000_000;
-/// How long a hello may take. Far shorter than cookies last: nothing is said again because its cookie has become old.
+/// Time within which a hello must answer the latest datagram. Far shorter than the validity of cookies, so an expired
+/// cookie alone never causes an old message to be sent again.
 const HELLO_TIMEOUT_US: Micros = 5_000_000;
-/// Numbers behind the highest that may still come.
+/// Width of the replay window: message numbers this far behind the highest are rejected.
 pub const REPLAY_WINDOW: u64 = 128;
-/// Sessions that are known at once. Guards the memory.
+/// Maximum number of sessions tracked at once. Bounds the memory.
 const MAX_SESSIONS: usize = 16_384;
-/// Messages of a session that are heard each second.
+/// Messages accepted from one session per second, and the burst allowance.
 pub const MAX_MESSAGES_PER_SECOND: f64 = 200.0;
-/// Peers whose cookies are known. Those that are left out say hello again.
+/// Maximum number of peers whose cookies are stored. When it is reached the store is cleared, and the next message to
+/// each peer repeats the hello exchange.
 const MAX_PEERS: usize = 16_384;
 
-/// What is known of another's life.
+/// Replay window and rate limit of one session of a sender.
 #[derive(Debug)]
 struct Session {
     highest_number: u64,
-    /// Bit n: the number n below the highest has been heard.
+    /// Bit n is set if the number n below the highest has been accepted.
     received_bits: u128,
     last_received_at: Micros,
-    /// Messages that may be heard now.
+    /// Tokens of the rate limit: messages that may be accepted now.
     tokens: f64,
 }
 
-/// What is known of whom to speak to.
+/// State for sending to one address.
 #[derive(Debug, Default)]
 struct Peer {
     cookie: u64,
-    /// The last datagram: its number, its message in case the cookie was wrong, and when.
+    /// The last datagram sent and not yet answered by a hello: its number, its message in case the cookie was invalid,
+    /// and the time.
     last_sent: Option<(u64, Message, Micros)>,
 }
 
-/// What came of a datagram.
+/// Result of processing a received datagram.
 #[derive(Debug, PartialEq)]
 pub enum Received {
-    /// A message.
+    /// An accepted message.
     Message(Message),
-    /// Something to send back at once.
+    /// A datagram to send back to the sender.
     Reply(Vec<u8>),
-    /// Nothing: it was heard already, or too many came.
+    /// Dropped: a replay, a stale hello, or over a limit.
     Ignored,
-    /// It is none.
+    /// Not a valid signed datagram.
     Invalid(DatagramError),
 }
 
-/// One end of all conversations.
+/// An instance's endpoint for exchanging datagrams with all peers.
 #[derive(Debug)]
 pub struct Channel {
     keys: Keys,
     session: u64,
     last_number: u64,
-    /// The present secret and the one before.
+    /// The current cookie secret and the previous one.
     secrets: [[u8; 32]; 2],
     rotated_at: Micros,
     sessions: HashMap<(SocketAddr, u64), Session>,
     peers: HashMap<SocketAddr, Peer>,
     rng: fastrand::Rng,
-    /// Datagrams that were no messages, or were not heard.
+    /// Number of received datagrams that were invalid or dropped.
     pub rejected: u64,
 }
 
 impl Channel {
-    /// A new life; `secret` is drawn by whoever has a good source of it.
+    /// Creates the channel of a new run. `secret` must come from a cryptographically secure random source.
     pub fn new(keys: Keys, secret: [u8; 32]) -> Channel {
         let mut seed = [0; 8];
         seed.copy_from_slice(&blake3::derive_key("sloeline-fleet session", &secret)[..8]);
@@ -99,7 +103,7 @@
         }
     }
 
-    /// Other keys from now on; sessions go on.
+    /// Replaces the signing keys; sessions stay valid.
     pub fn set_keys(&mut self, keys: Keys) {
         self.keys = keys;
     }
@@ -110,7 +114,7 @@
         hasher.update(&session.to_le_bytes());
         let mut bytes = [0; 8];
         bytes.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
-        // 0 is what those say who know none.
+        // Senders without a cookie send 0.
         u64::from_le_bytes(bytes).max(1)
     }
 
@@ -118,7 +122,7 @@
         if now < self.rotated_at + SECRET_ROTATION_US {
             return;
         }
-        // After a long pause nothing of before is fresh.
+        // After a long pause both old secrets are replaced.
         let next = |secret: &[u8; 32]| blake3::derive_key("sloeline-fleet next", secret);
         let steps = ((now - self.rotated_at) / SECRET_ROTATION_US).min(2);
         for _ in 0..steps {
@@ -128,7 +132,7 @@
         self.sessions.retain(|_, session| now < session.last_received_at + 3 * SECRET_ROTATION_US);
     }
 
-    /// A datagram with a message.
+    /// Wraps a message into a signed datagram for the peer; `None` if it is too long.
     pub fn seal(&mut self, now: Micros, to: SocketAddr, message: Message) -> Option<Vec<u8>> {
         self.last_number += 1;
         if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(&to) {
@@ -141,7 +145,7 @@
         self.keys.seal(&packet)
     }
 
-    /// What a datagram says.
+    /// Processes a received datagram.
     pub fn open(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) -> Received {
         self.rotate_secrets(now);
         let received = self.receive(now, from, bytes);
@@ -154,7 +158,8 @@
             Err(error) => Received::Invalid(error),
             Ok(Packet::Hello { cookie, echo }) => {
                 let Some(peer) = self.peers.get_mut(&from) else { return Received::Ignored };
-                // Only what answers the last datagram: an old one, or one that was meant for others, changes nothing.
+                // Only a hello that answers the last datagram counts; an old one, or one for another receiver, has no
+                // effect.
                 let answers = |(number, _, at): &mut (u64, Message, Micros)| {
                     *number == echo && now < *at + HELLO_TIMEOUT_US
                 };
@@ -169,7 +174,8 @@
                     self.secrets.iter().any(|secret| Channel::cookie(secret, from, session) == cookie);
                 if !fresh {
                     let cookie = Channel::cookie(&self.secrets[0], from, session);
-                    // Shorter than what it answers: of no use to whoever would have others flooded.
+                    // The hello is no longer than the datagram it answers, so it cannot be used for an amplification
+                    // attack.
                     let hello = self.keys.seal(&Packet::Hello { cookie, echo: number });
                     return hello
                         .filter(|hello| hello.len() <= bytes.len())
@@ -214,7 +220,7 @@
         true
     }
 
-    /// A number at random.
+    /// Returns a random number.
     pub fn random_u64(&mut self) -> u64 {
         self.rng.u64(..)
     }
@@ -238,9 +244,9 @@
         SocketAddr::from(([127, 0, 0, 1], port))
     }
 
-    /// Lets a message through the first hello.
+    /// Performs the hello exchange for a message and returns the datagram with a valid cookie.
     fn handshake(a: &mut Channel, b: &mut Channel, now: Micros, number: u32) -> Vec<u8> {
-        let sealed = a.seal(now, at(2), message(number)).expect("short");
+        let sealed = a.seal(now, at(2), message(number)).expect("the message fits");
         match b.open(now, at(1), &sealed) {
             Received::Reply(hello) => match a.open(now, at(2), &hello) {
                 Received::Reply(resent) => resent,
@@ -256,27 +262,28 @@
         let first = handshake(&mut a, &mut b, 0, 7);
         assert_eq!(b.open(0, at(1), &first), Received::Message(message(7)));
         assert_eq!(b.open(0, at(1), &first), Received::Ignored);
-        // From elsewhere it is a stranger's, and gets no more than a hello.
+        // From another address the datagram is not accepted and is answered by a hello only.
         assert!(matches!(b.open(0, at(3), &first), Received::Reply(hello) if hello.len() <= first.len()));
-        // The next ones need no hello; out of order they are heard, once each.
-        let sealed: Vec<Vec<u8>> = (0..20).map(|n| a.seal(1, at(2), message(n)).expect("short")).collect();
+        // Later messages need no hello. Out of order, each is accepted once.
+        let sealed: Vec<Vec<u8>> =
+            (0..20).map(|n| a.seal(1, at(2), message(n)).expect("the message fits")).collect();
         for (n, sealed) in sealed.iter().enumerate().rev() {
             assert_eq!(b.open(1, at(1), sealed), Received::Message(message(n as u32)));
         }
         assert!(sealed.iter().all(|sealed| b.open(1, at(1), sealed) == Received::Ignored));
-        // The receiver's next life takes nothing that was said to the one before.
+        // A restarted receiver accepts nothing that was sent to its previous run.
         let mut next = Channel::new(keys(), [3; 32]);
         for sealed in sealed.iter().chain([&first]) {
             assert!(matches!(next.open(0, at(1), sealed), Received::Reply(_)));
         }
-        // An old hello changes nothing.
-        let hello = keys().seal(&Packet::Hello { cookie: 9, echo: 1 }).expect("short");
+        // A stale hello has no effect.
+        let hello = keys().seal(&Packet::Hello { cookie: 9, echo: 1 }).expect("the message fits");
         assert_eq!(a.open(0, at(2), &hello), Received::Ignored);
-        // Secrets change, and who is spoken to meanwhile goes on; what is twenty minutes old is not fresh.
+        // The exchange continues across secret rotations; datagrams older than twenty minutes are not accepted.
         let mut recorded = Vec::new();
         for step in 1..=12 {
             let now = step * 200_000_000;
-            let sealed = a.seal(now, at(2), message(step as u32)).expect("short");
+            let sealed = a.seal(now, at(2), message(step as u32)).expect("the message fits");
             recorded.push(sealed.clone());
             let accepted = match b.open(now, at(1), &sealed) {
                 Received::Reply(hello) => match a.open(now, at(2), &hello) {
@@ -312,11 +319,11 @@
                 };
                 if rng.u32(0..100) == 0 {
                     b = Channel::new(keys(), rng_bytes(&mut rng));
-                    // Another life may be told the last message again.
+                    // A restarted receiver may receive the last message again.
                     accepted_total += accepted.len();
                     accepted.clear();
                 }
-                recorded.push(a.seal(now, at(2), message(number)).expect("short"));
+                recorded.push(a.seal(now, at(2), message(number)).expect("the message fits"));
                 for _ in 0..rng.usize(0..4) {
                     let sealed =
                         recorded[rng.usize(recorded.len().saturating_sub(300)..recorded.len())].clone();
@@ -357,11 +364,11 @@
         b.open(0, at(1), &first);
         let accepted = (0..20_000_u64)
             .filter(|n| {
-                let sealed = a.seal(n * 100, at(2), message(1)).expect("short");
+                let sealed = a.seal(n * 100, at(2), message(1)).expect("the message fits");
                 matches!(b.open(n * 100, at(1), &sealed), Received::Message(_))
             })
             .count();
-        // Two seconds, and what had gathered.
+        // Two seconds of messages plus the burst allowance.
         assert!(accepted as f64 <= 3.0 * MAX_MESSAGES_PER_SECOND, "{accepted}");
         let senders = (0..2 * MAX_SESSIONS).filter(|n| {
             let mut sender = Channel::new(keys(), blake3::derive_key("x", &n.to_le_bytes()));
--- a/fleet/src/facts.rs
+++ b/fleet/src/facts.rs
@@ -1,14 +1,14 @@
-//! What instances have seen and all should know. Merged in any order, any number of times, it comes to the same: of two
-//! words on one node the one of the later revision counts, and of one revision the one that is safer to believe.
+//! Facts about upstream nodes that instances observe and share. Merging is commutative and idempotent: of two facts
+//! about one node the one with the later revision wins, and at the same revision the safer one.
 //!
-//! **Drains.** Sources are heard late, by some later than by others. A drain that one instance's source has told is obeyed
-//! by all that hear of it, for as long as their own source has not come as far; from then on their own source's word counts,
-//! whatever it is. So a word that is late, or comes again, keeps a node out only where that node's present state isn't known;
-//! nothing that is said here ever puts a node *in*. Guards rule 3; what it costs is a node that is out for as long as an
-//! instance's source is behind.
+//! **Drains.** Instances receive the updates of a discovery source at different times. A drain that one instance
+//! received is obeyed by every instance that learns of it, until that instance's own source has reached the same
+//! revision; from then on its own source decides. A late or repeated fact can therefore keep a node out only where the
+//! node's current state is not known yet; no fact ever puts a node back *in*. This upholds rule 3. The cost is that a
+//! node stays out for as long as an instance's source is behind.
 //!
-//! Revisions are those of one source for all instances (a registry's); a pool whose list is written by hand has none, and
-//! nothing is said of it.
+//! Revisions come from one source that all instances share (a registry). A pool with a static node list has no
+//! revisions, and no facts are shared about it.
 
 use std::collections::VecDeque;
 
@@ -16,17 +16,17 @@
 
 use crate::message::{Fact, Name, Observation, encoded_size};
 
-/// Most facts. Guards the memory against a source that names nodes without end.
+/// Maximum number of stored facts. Bounds the memory if a source produces node names without end.
 pub const MAX_FACTS: usize = 16_384;
 
-/// All that is known. To copy it costs nothing.
+/// The facts that an instance knows, by pool and node. Cloning is cheap because the map is shared.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FactStore {
     observations: HashMap<(Name, Name), Observation>,
 }
 
 impl FactStore {
-    /// Takes a word; whether anything is different now.
+    /// Merges a fact and returns whether that changed the store.
     pub fn merge(&mut self, fact: &Fact) -> bool {
         let key = (fact.pool.clone(), fact.node.clone());
         let after = match self.observations.get(&key) {
@@ -37,14 +37,15 @@
         self.observations.insert(key, after) != Some(after)
     }
 
-    /// Takes all of another's.
+    /// Merges all facts of another store.
     pub fn merge_all(&mut self, other: &FactStore) {
         for ((pool, node), seen) in &other.observations {
             self.merge(&Fact { pool: pool.clone(), node: node.clone(), seen: *seen });
         }
     }
 
-    /// Whether a node must get nothing new, though this instance's source, which has come to a revision, says nothing of it.
+    /// Returns whether a node must get no new requests because another instance observed its drain at a later revision
+    /// than `revision`, which this instance's own source has reached.
     pub fn is_draining(&self, pool: &Name, node: &Name, revision: u64) -> bool {
         match self.observations.get(&(pool.clone(), node.clone())) {
             Some(Observation::Drain { revision: observed, drains }) => *drains && *observed > revision,
@@ -52,7 +53,7 @@
         }
     }
 
-    /// The nodes of a pool that must get nothing new, for a source that has come to a revision.
+    /// Returns the nodes of a pool for which [`is_draining`](FactStore::is_draining) holds at `revision`.
     pub fn draining_nodes(&self, pool: &Name, revision: u64) -> Vec<Name> {
         let node_in_pool =
             |((of, node), _): (&(Name, Name), &Observation)| (of == pool).then(|| node.clone());
@@ -63,7 +64,7 @@
             .collect()
     }
 
-    /// As much of it as goes into so many bytes, beginning at random.
+    /// Returns as many facts as fit into `bytes`, from a random starting position.
     pub fn sample(&self, rng: &mut fastrand::Rng, mut bytes: usize) -> Vec<Fact> {
         let start = if self.observations.is_empty() { 0 } else { rng.usize(..self.observations.len()) };
         let all = self.observations.iter().skip(start).chain(self.observations.iter().take(start));
@@ -77,19 +78,20 @@
         sample
     }
 
-    /// Forgets what a source has come past so far that nobody can be behind it any more.
+    /// Forgets the facts of a pool up to `revision`. Call it only when no instance's source can still be behind that
+    /// revision.
     pub fn forget_through(&mut self, pool: &Name, revision: u64) {
         self.observations.retain(|(of, _), Observation::Drain { revision: observed, .. }| {
             of != pool || *observed > revision
         });
     }
 
-    /// How much is known.
+    /// Returns the number of stored facts.
     pub fn len(&self) -> usize {
         self.observations.len()
     }
 
-    /// Nothing is known.
+    /// Returns whether no fact is stored.
     pub fn is_empty(&self) -> bool {
         self.observations.is_empty()
     }
@@ -101,14 +103,14 @@
     match revision_a.cmp(&revision_b) {
         std::cmp::Ordering::Less => b,
         std::cmp::Ordering::Greater => a,
-        // One source can't say both; where it seems to, the node is left alone.
+        // One source cannot report both at one revision. If it appears to, draining is the safer choice.
         std::cmp::Ordering::Equal => {
             Observation::Drain { revision: revision_a, drains: drains_a || drains_b }
         }
     }
 }
 
-/// News that go out beside messages, each so many times.
+/// Queue of items to piggyback on messages, each for a limited number of transmissions.
 #[derive(Clone, Debug)]
 pub struct GossipQueue<T> {
     queue: VecDeque<(T, u32)>,
@@ -121,13 +123,13 @@
 }
 
 impl<T: Clone + serde::Serialize> GossipQueue<T> {
-    /// Says something so many times; what it makes old is said no more.
+    /// Queues an item for `times` transmissions and drops the queued items that it supersedes.
     pub fn push(&mut self, item: T, times: u32, supersedes: impl Fn(&T) -> bool) {
         self.queue.retain(|(before, _)| !supersedes(before));
         self.queue.push_front((item, times));
     }
 
-    /// What goes out now, in so many bytes: what has been said least first.
+    /// Takes items for one message, up to `bytes` in total, beginning with the least transmitted.
     pub fn take(&mut self, mut bytes: usize) -> Vec<T> {
         let mut taken = Vec::new();
         for _ in 0..self.queue.len() {
@@ -146,12 +148,12 @@
         taken
     }
 
-    /// How much is still to be said.
+    /// Returns the number of items still to be sent.
     pub fn len(&self) -> usize {
         self.queue.len()
     }
 
-    /// Nothing is.
+    /// Returns whether no item is left to send.
     pub fn is_empty(&self) -> bool {
         self.queue.is_empty()
     }
@@ -184,15 +186,15 @@
             let mut other = facts.clone();
             rng.shuffle(&mut other);
             other.extend(facts.iter().take(3).cloned());
-            assert_eq!(all(&other), expected, "in another order, some again");
-            // In two halves, each merged into the other.
+            assert_eq!(all(&other), expected, "in another order, with repeats");
+            // The facts are split into two stores, and each is merged into the other.
             let (a, b) = facts.split_at(rng.usize(0..=facts.len()));
             let (mut one, mut two) = (all(a), all(b));
             let copy = one.clone();
             one.merge_all(&two);
             two.merge_all(&copy);
             assert!(one == expected && two == expected);
-            assert!(facts.iter().all(|fact| !one.merge(fact)), "nothing is new any more");
+            assert!(facts.iter().all(|fact| !one.merge(fact)), "merging again changes nothing");
         }
     }
 
@@ -206,9 +208,9 @@
         };
         let mut known = FactStore::default();
         assert!(known.merge(&drain_fact(7, true)));
-        // Drained at 7, by the word of others: nothing here has come so far but the last.
+        // Another instance observed a drain at revision 7; it applies where the own source has not reached 7.
         assert_eq!([5, 6, 7, 8].map(|own| known.is_draining(&pool, &node, own)), [true, true, false, false]);
-        // Back at 8, out again at 9, all within one period of a list; the words come in the wrong order.
+        // The drain ends at 8 and starts again at 9; the facts arrive in the wrong order.
         for (revision, drains) in [(9, true), (8, false), (7, true)] {
             known.merge(&drain_fact(revision, drains));
         }
@@ -218,7 +220,7 @@
         assert!(!known.is_draining(&pool, &node, 0) && known.draining_nodes(&pool, 0).is_empty());
         known.forget_through(&pool, 10);
         assert!(known.is_empty());
-        // Names without end.
+        // The store stops growing at its maximum when node names never repeat.
         for n in 0..2 * MAX_FACTS {
             known.merge(&Fact { node: n.to_string().into(), ..drain_fact(1, true) });
         }
--- a/fleet/src/grants.rs
+++ b/fleet/src/grants.rs
@@ -1,20 +1,24 @@
-//! One limit for all instances, divided into grants that expire.
+//! One limit for the whole fleet, divided into grants that expire.
 //!
-//! A part of the limit is everybody's: the same for each of as many instances as there may be at the most, cut off or not.
-//! The rest is handed out by a *keeper*, one instance at a time, to those who ask, for a short while each.
+//! A part of the limit is guaranteed: it is divided evenly among the maximum number of instances, whether they are
+//! reachable or not. A *coordinator* grants the rest to the instances that request it, for a short time each. One
+//! instance at a time is the coordinator.
 //!
-//! **One keeper.** An instance is the keeper for as long as more than half of all that there may be have lent it their vote.
-//! A vote is lent for a *term* by the voter's clock, from when it is given; the keeper counts the term from when it asked, so
-//! it stops first. Meanwhile the voter lends it to no other *life*: a keeper that has been restarted is another one. A voter
-//! that has been restarted may have lent its vote and forgotten it, and lends none for a term.
+//! **One coordinator.** An instance is the coordinator while more than half of the maximum number of instances have
+//! lent it their vote. A vote is lent for a *term*. The voter measures the term from when it sends the vote, the
+//! coordinator from when it requested it, so the coordinator stops first. Until the term ends the voter lends its vote
+//! to no other *run*; a restarted coordinator is a new run. A restarted voter may have lent its vote before and no
+//! longer know it, so it lends none for one term.
 //!
-//! **No more than the limit.** A grant ends with the keeper's term at the latest. Who asked counts it from when it asked, the
-//! keeper from when it answered, so the keeper counts it longer. An answer may be lost and the one before it still be in use:
-//! the keeper counts the highest of all that it has answered and that may still last.
+//! **Never more than the limit.** A grant ends with the coordinator's term at the latest. The requester measures a
+//! grant from when it requested it, the coordinator from when it answered, so the coordinator counts it for longer. An
+//! answer may be lost while the grant before it is still in use, so the coordinator counts the highest grant of each
+//! instance that may still be valid.
 //!
-//! So at no time is more in use than the limit, whatever is lost, late, out of order or dead; only clocks that run at
-//! different speeds could break it, and [`DRIFT`] allows for those. That is shown by trying all histories of three instances
-//! (`tests/grants.rs`), not by argument alone. An instance that is cut off falls back to its own part within a grant's time.
+//! So the amount in use never exceeds the limit, whatever messages are lost, late or reordered and whichever instances
+//! fail. Only clocks that run at different speeds could break this, and [`CLOCK_DRIFT_DIVISOR`] allows for those.
+//! `tests/grants.rs` checks it over all histories of three instances up to a given depth. An instance that is cut off
+//! falls back to its guaranteed share when its grant expires.
 //!
 //! No I/O; times are microseconds of the instance's own clock.
 
@@ -25,52 +29,54 @@
 
 use crate::message::Name;
 
-/// How much slower one clock may run than another, as a part of a term: one in so many.
+/// Tolerated difference in clock speed: terms and grants are shortened by one part in this number on the side that
+/// must stop first.
 pub const CLOCK_DRIFT_DIVISOR: u64 = 64;
-/// Instances whose grants are counted. Guards the memory.
+/// Maximum number of instances whose grants and votes are tracked. Bounds the memory.
 const MAX_TRACKED_INSTANCES: usize = 8_192;
 
-/// What is divided, in whole units (requests a second, say).
+/// How one limit is divided, in whole units (requests per second, for example).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
-    /// Together.
+    /// Limit for the whole fleet, in units.
     pub limit: u64,
-    /// The part of it that is everybody's, in units. At most the limit.
+    /// Part of the limit, in units, that is divided evenly among `max_instances` without grants. At most `limit`.
     pub guaranteed: u64,
-    /// As many instances as there may be.
+    /// Maximum number of instances in the fleet.
     pub max_instances: u32,
-    /// How long a vote is lent.
+    /// Time for which a vote is lent.
     pub vote_term: Micros,
-    /// How long a grant lasts.
+    /// Time for which a grant is valid.
     pub grant_duration: Micros,
 }
 
 impl Settings {
-    /// What each instance has whatever happens.
+    /// Returns the units that each instance may use without a grant.
     pub fn guaranteed_share(&self) -> u64 {
         self.guaranteed.min(self.limit) / u64::from(self.max_instances.max(1))
     }
 
-    /// What the keeper hands out.
+    /// Returns the units that the coordinator distributes by grants.
     pub fn grantable(&self) -> u64 {
         self.limit - self.guaranteed_share() * u64::from(self.max_instances.max(1))
     }
 }
 
-/// What is said of it.
+/// A message about votes or grants for one limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum GrantMessage {
-    /// Lend me your vote; the life that asks, and the number of the question.
+    /// Requests a vote: the candidate's run ID and the request number.
     Vote(u64, u64),
-    /// It is lent.
+    /// The vote is lent, in answer to this request number.
     Lent(u64),
-    /// Grant me as much; the number of the question.
+    /// Requests a grant: the request number and the demanded units.
     Ask(u64, u64),
-    /// So much is granted, for so long from the question.
+    /// Grants units: the request number, the units and the duration in microseconds, measured from when the request
+    /// was sent.
     Grant(u64, u64, Micros),
 }
 
-/// A question for votes under way.
+/// A request for votes and the instances that have lent theirs in answer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Election {
     request: u64,
@@ -78,30 +84,30 @@
     voters: Vec<Name>,
 }
 
-/// One instance's part in one limit.
+/// State of one instance for one shared limit: voter, candidate or coordinator, and holder of a grant.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Grants {
     name: Name,
     run_id: u64,
     settings: Settings,
     started: Micros,
-    /// To whom the vote is lent, and until when.
+    /// The run ID that this instance's vote is lent to, and until when.
     vote: Option<(u64, Micros)>,
     election: Option<Election>,
     coordinator_until: Micros,
-    /// What was granted and may last: how much and until when. By whom it was asked.
+    /// Grants issued as the coordinator that may still be valid, by instance name: units and expiry time.
     outstanding: BTreeMap<Name, Vec<(u64, Micros)>>,
-    /// What each wants, as it last asked.
+    /// The demand in each instance's latest request, by instance name.
     demands: BTreeMap<Name, u64>,
-    /// The last question: its number and when.
+    /// Number of the latest grant request and the time at which it was sent.
     pending_request: (u64, Micros),
-    /// What is granted to this one: by which question, how much, until when.
+    /// The grant that this instance holds: request number, units, expiry time.
     current_grant: Option<(u64, u64, Micros)>,
     last_request: u64,
 }
 
 impl Grants {
-    /// An instance that has just started; its life is drawn at random.
+    /// Creates the state of an instance that has just started. `run_id` is drawn at random for each run.
     pub fn new(now: Micros, name: Name, run_id: u64, settings: Settings) -> Grants {
         Grants {
             name,
@@ -115,22 +121,22 @@
             demands: BTreeMap::new(),
             pending_request: (0, 0),
             current_grant: None,
-            // Questions of a former life, whose answers may still come, have other numbers.
+            // Late answers to requests of a previous run carry other numbers.
             last_request: run_id,
         }
     }
 
-    /// What this instance may use now.
+    /// Returns the units that this instance may use now: guaranteed share plus grant.
     pub fn allowance(&self, now: Micros) -> u64 {
         self.settings.guaranteed_share() + self.granted(now)
     }
 
-    /// What is granted to it, beyond its own.
+    /// Returns the units granted to this instance beyond its guaranteed share.
     pub fn granted(&self, now: Micros) -> u64 {
         self.current_grant.filter(|(_, _, until)| now < *until).map_or(0, |(_, amount, _)| amount)
     }
 
-    /// Whether this instance is the keeper.
+    /// Returns whether this instance is the coordinator.
     pub fn is_coordinator(&self, now: Micros) -> bool {
         now < self.coordinator_until
     }
@@ -139,13 +145,13 @@
         span - span / CLOCK_DRIFT_DIVISOR
     }
 
-    /// Whether it is time to ask for votes, again or for the first time.
+    /// Returns whether votes should be requested, for the first time or to renew the term.
     pub fn should_request_votes(&self, now: Micros) -> bool {
-        let pause = self.settings.vote_term / 4;
-        self.election.as_ref().is_none_or(|election| now >= election.requested_at + pause)
+        let interval = self.settings.vote_term / 4;
+        self.election.as_ref().is_none_or(|election| now >= election.requested_at + interval)
     }
 
-    /// Asks for votes, to be keeper or to stay it: what is to be said to all others.
+    /// Requests votes to become or stay the coordinator. Returns the message to send to all other instances.
     pub fn request_votes(&mut self, now: Micros) -> GrantMessage {
         self.last_request = self.last_request.wrapping_add(1);
         self.election = Some(Election { request: self.last_request, requested_at: now, voters: Vec::new() });
@@ -155,25 +161,26 @@
         GrantMessage::Vote(self.run_id, self.last_request)
     }
 
-    /// Lends the vote, if it may be.
-    fn lend_vote(&mut self, now: Micros, to: u64) -> bool {
-        // What was lent before this life began is over by then.
+    /// Lends this instance's vote to the run `candidate`, unless it is lent to another run or this instance started less than
+    /// a term ago.
+    fn lend_vote(&mut self, now: Micros, candidate: u64) -> bool {
+        // Any vote that a previous run lent has expired by then.
         if now < self.started + self.settings.vote_term {
             return false;
         }
-        if self.vote.is_some_and(|(run_id, until)| run_id != to && now < until) {
+        if self.vote.is_some_and(|(run_id, until)| run_id != candidate && now < until) {
             return false;
         }
-        self.vote = Some((to, now + self.settings.vote_term));
+        self.vote = Some((candidate, now + self.settings.vote_term));
         true
     }
 
-    fn record_vote(&mut self, by: Name, number: u64) {
+    fn record_vote(&mut self, voter: Name, number: u64) {
         let Some(election) = self.election.as_mut().filter(|election| election.request == number) else {
             return;
         };
-        if !election.voters.contains(&by) && election.voters.len() < MAX_TRACKED_INSTANCES {
-            election.voters.push(by);
+        if !election.voters.contains(&voter) && election.voters.len() < MAX_TRACKED_INSTANCES {
+            election.voters.push(voter);
         }
         if 2 * election.voters.len() as u64 > u64::from(self.settings.max_instances) {
             self.coordinator_until = self
@@ -182,14 +189,14 @@
         }
     }
 
-    /// Asks for a grant: what is to be said to the keeper.
+    /// Requests a grant of `demand` units. Returns the message to send to the coordinator.
     pub fn request_grant(&mut self, now: Micros, demand: u64) -> GrantMessage {
         self.last_request = self.last_request.wrapping_add(1);
         self.pending_request = (self.last_request, now);
         GrantMessage::Ask(self.last_request, demand)
     }
 
-    /// Hears what another says; what is to be answered.
+    /// Handles a message from another instance and returns the answer to send, if any.
     pub fn handle_message(
         &mut self,
         now: Micros,
@@ -206,7 +213,7 @@
             }
             GrantMessage::Ask(number, demand) => self.issue_grant(now, from, number, demand),
             GrantMessage::Grant(number, amount, duration) => {
-                // Only the answer to the last question: that is when its time began.
+                // Only the latest request counts: the grant is measured from when that request was sent.
                 let (pending, requested_at) = self.pending_request;
                 if number == pending {
                     self.current_grant = Some((number, amount, requested_at + duration));
@@ -223,7 +230,7 @@
             return None;
         }
         self.outstanding.values_mut().for_each(|grants| grants.retain(|(_, until)| now < *until));
-        // Those who have asked for nothing since their grants were over are no more.
+        // Instances whose grants have all expired without a new request are dropped.
         let outstanding = &self.outstanding;
         self.demands.retain(|name, _| outstanding.get(name).is_some_and(|grants| !grants.is_empty()));
         self.outstanding.retain(|_, grants| !grants.is_empty());
@@ -231,13 +238,13 @@
         let duration = self.settings.grant_duration.min(self.coordinator_until - now);
         let amount = self.fair_share(to).min(self.available_for(to));
         let grants = self.outstanding.entry(to.clone()).or_default();
-        // One that lasts no longer and is no higher need not be counted beside this.
+        // An earlier grant that is not higher and expires no later is covered by the new one.
         grants.retain(|(before, until)| *before > amount || *until > now + duration);
         grants.push((amount, now + duration));
         Some(GrantMessage::Grant(number, amount, Grants::shorten_for_drift(duration)))
     }
 
-    /// What no other may be using.
+    /// Returns the grantable units that no other instance may be using.
     fn available_for(&self, to: &Name) -> u64 {
         let highest =
             |grants: &Vec<(u64, Micros)>| grants.iter().map(|(amount, _)| *amount).max().unwrap_or(0);
@@ -246,7 +253,7 @@
         self.settings.grantable().saturating_sub(others)
     }
 
-    /// A fair part: those who want little have that, the others share the rest evenly (max-min fairness).
+    /// Returns the max-min fair share of `to`: small demands are met in full, the others share the rest evenly.
     fn fair_share(&self, to: &Name) -> u64 {
         let mut demands: Vec<u64> = self.demands.values().copied().collect();
         demands.sort_unstable();
@@ -281,7 +288,7 @@
         (0..4).map(|n| Grants::new(0, format!("n{n}").into(), n, SETTINGS)).collect()
     }
 
-    /// All vote for the first.
+    /// Makes the first instance the coordinator by the votes of all.
     fn elect(fleet: &mut [Grants], now: Micros) {
         let message = fleet[0].request_votes(now);
         for n in 1..fleet.len() {
@@ -299,7 +306,7 @@
         }
     }
 
-    /// When votes may be lent.
+    /// A time at which votes can be lent: later than one term after the start.
     const FIRST_VOTE_AT: Micros = 20 * SECOND;
 
     #[test]
@@ -311,7 +318,7 @@
             fleet[0].is_coordinator(FIRST_VOTE_AT)
                 && fleet[1..].iter().all(|f| !f.is_coordinator(FIRST_VOTE_AT))
         );
-        // Alone it has all; as others come it gives way when it asks again.
+        // A single requester gets everything; its share shrinks at its next request once others request grants.
         request_grant(&mut fleet, FIRST_VOTE_AT, 1, 5_000);
         assert_eq!(fleet[1].allowance(FIRST_VOTE_AT), 700);
         for round in 0..4 {
@@ -321,7 +328,7 @@
                 .for_each(|(of, demand)| request_grant(&mut fleet, now, of, demand));
         }
         let now = FIRST_VOTE_AT + 3 * SECOND / 2;
-        // What the first was granted at first is counted until it is over, though it asked for less since.
+        // The first instance's initial grant counts until it expires, although it has requested less since.
         assert!(fleet[1..].iter().map(|f| f.granted(now)).sum::<u64>() <= 600);
         for round in 4..9 {
             let now = FIRST_VOTE_AT + round * SECOND / 2;
@@ -331,7 +338,7 @@
         }
         let now = FIRST_VOTE_AT + 8 * SECOND / 2;
         assert_eq!(fleet[1..].iter().map(|f| f.granted(now)).collect::<Vec<_>>(), [275, 275, 50]);
-        // Cut off, each falls back to its own part, and the keeper is none any more.
+        // Without contact each instance falls back to its guaranteed share, and the coordinator's term ends.
         let later = now + 11 * SECOND;
         assert!(fleet.iter().all(|f| f.allowance(later) == 100 && !f.is_coordinator(later)));
     }
@@ -347,7 +354,7 @@
                 .iter_mut()
                 .all(|f| f.handle_message(FIRST_VOTE_AT + SECOND, &"n9".into(), message).is_none())
         );
-        // The keeper's next life has other votes to win, and a voter's next life none to lend yet.
+        // The restarted coordinator needs new votes, and a restarted voter lends none for one term.
         let mut restarted = Grants::new(FIRST_VOTE_AT + SECOND, "n0".into(), 10, SETTINGS);
         let message = restarted.request_votes(FIRST_VOTE_AT + 2 * SECOND);
         assert!(
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -1,15 +1,16 @@
-//! A fleet that knows itself: which instances are alive, and what all of them may do together.
+//! Membership of a fleet of load-balancer instances, and limits that the whole fleet shares.
 //!
-//! - [`swim`]: who is alive, by probes and gossip (A. Das, I. Gupta, A. Motivala, "SWIM", 2002), with suspicion, and with
-//!   patience that grows where one's own probes fail (A. Dadgar, J. Phillips, J. Currey, "Lifeguard", 2017).
-//! - [`grants`]: one limit for all, divided into grants that expire; the sum never passes the limit, whatever is lost, late
-//!   or dead.
-//! - [`facts`]: what each has seen and all should know, merged in any order to the same.
-//! - [`message`] and [`channel`]: what goes over the wire, bounded, signed, and heard once.
-//! - [`shell`]: UDP around all of it.
+//! - [`swim`]: membership and failure detection by probes and gossip (A. Das, I. Gupta, A. Motivala, "SWIM", 2002),
+//!   with suspicion, and with timeouts that grow while an instance's own probes fail (A. Dadgar, J. Phillips, J.
+//!   Currey, "Lifeguard", 2017).
+//! - [`grants`]: one limit for the whole fleet, divided into grants that expire; the sum never exceeds the limit,
+//!   whatever messages are lost or late and whichever instances fail.
+//! - [`facts`]: observations that instances share; merging them in any order gives the same result.
+//! - [`message`] and [`channel`]: the wire format, bounded in size, signed and protected against replay.
+//! - [`shell`]: the UDP transport and the task that drives the modules above.
 //!
-//! All but the shell is without I/O and without a clock; times are microseconds of the instance's own clock, which need not
-//! agree with anybody's.
+//! All modules except the shell do no I/O and read no clock; times are microseconds of the instance's own clock, which
+//! need not agree with that of any other instance.
 
 pub mod channel;
 pub mod facts;
--- a/fleet/src/message.rs
+++ b/fleet/src/message.rs
@@ -1,6 +1,6 @@
-//! What instances say to each other. `docs/protocol-fleet.md` is the specification.
+//! Messages between instances and their wire format. `docs/protocol-fleet.md` is the specification.
 //!
-//! A datagram has at most [`MOST_DATAGRAM`] bytes, so that none is taken apart on its way:
+//! A datagram has at most [`MAX_DATAGRAM_BYTES`] bytes, so that it is not fragmented:
 //!
 //! ```text
 //! version  1 byte   1
@@ -18,138 +18,139 @@
 use serde::{Deserialize, Serialize};
 use sha2::Sha256;
 
-/// The version that is spoken.
+/// Protocol version of the datagrams.
 pub const VERSION: u8 = 1;
-/// Most bytes of a datagram.
+/// Maximum size of a datagram, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
-/// Longest name, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Bytes of a tag.
+/// Length of the HMAC tag, in bytes.
 const TAG_BYTES: usize = 16;
-/// Bytes before the packet.
+/// Length of the header (version and key ID), in bytes.
 const HEADER_BYTES: usize = 5;
-/// Bytes that a packet may have.
+/// Maximum size of an encoded packet, in bytes.
 pub const MAX_PACKET_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES - TAG_BYTES;
 
-/// An instance's name.
+/// Shared name string of an instance, zone, pool, node or limit.
 pub type Name = Arc<str>;
 
-/// Whether an instance is there, as is believed.
+/// Membership state of an instance. Of two updates with the same incarnation the later variant wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum State {
-    /// It is.
+    /// The instance is alive.
     Alive,
-    /// It has not answered for a while.
+    /// The instance did not acknowledge a probe and is suspected.
     Suspect,
-    /// It has not answered for too long.
+    /// The suspicion expired; the instance is considered dead.
     Dead,
-    /// It has said that it leaves.
+    /// The instance announced that it leaves.
     Left,
 }
 
-/// What is said of an instance.
+/// A membership update about one instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// Who.
+    /// Name of the instance.
     pub name: Name,
-    /// Where.
+    /// UDP address of the instance.
     pub address: SocketAddr,
-    /// In which zone.
+    /// Zone of the instance.
     pub zone: Name,
-    /// Higher than what was said of it before, if it is later. Only the instance itself makes it higher.
+    /// Version of this information: higher incarnations supersede lower ones. Only the instance itself raises its
+    /// incarnation.
     pub incarnation: u64,
-    /// How it is.
+    /// Reported membership state of the instance.
     pub state: State,
 }
 
-/// What one has seen and all should know; see [`crate::facts`].
+/// An observation of an upstream node that is spread to the fleet; see [`crate::facts`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fact {
-    /// Of which pool.
+    /// Pool of the node.
     pub pool: Name,
-    /// Of which node.
+    /// Name of the node.
     pub node: Name,
-    /// What.
+    /// The observation.
     pub seen: Observation,
 }
 
-/// What can be seen of a node.
+/// An observation of an upstream node.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Observation {
-    /// Its source told a drain at this revision, or took it back at it.
+    /// A discovery source started or ended a drain of the node.
     Drain {
-        /// Of the source.
+        /// Revision of the source at which it did so.
         revision: u64,
-        /// It drains.
+        /// Whether the drain started (`true`) or ended.
         drains: bool,
     },
 }
 
-/// What a message is for.
+/// Type of a message, with its specific content.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Kind {
-    /// Are you there?
+    /// Probe with a sequence number; the receiver answers with [`Kind::Ack`].
     Ping(u32),
-    /// I am.
+    /// Acknowledges the probe with this sequence number.
     Ack(u32),
-    /// Ask this one for me.
+    /// Requests an indirect probe of the address; an acknowledgement is returned under the given sequence number.
     PingFor(u32, SocketAddr),
-    /// I have just come: tell me who is there.
+    /// Requests a part of the receiver's membership list.
     Join,
-    /// Some of those who are there.
+    /// Part of the sender's membership list, in answer to [`Kind::Join`], or the announcement that the sender leaves.
     Members,
-    /// Something of grants; see [`crate::grants`].
+    /// A vote or grant message for the named limit; see [`crate::grants`].
     Grants(Name, crate::grants::GrantMessage),
-    /// Nothing but what is said beside, which can't wait.
+    /// Carries only piggybacked updates and facts that are not to wait for the next probe.
     News,
 }
 
-/// A message.
+/// A message from one instance to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
-    /// Who says it.
+    /// Name of the sender.
     pub from: Name,
-    /// What for.
+    /// Type of the message, with its specific content.
     pub kind: Kind,
-    /// What is said of instances beside.
+    /// Piggybacked membership updates.
     pub updates: Vec<Update>,
-    /// What is said of nodes beside.
+    /// Piggybacked facts about upstream nodes.
     pub facts: Vec<Fact>,
 }
 
-/// What a datagram carries; see [`crate::channel`].
+/// Content of a datagram; see [`crate::channel`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Packet {
-    /// The receiver does not know the sender yet: it is to say the cookie, and then its message again.
+    /// Answer to a message without a valid cookie: the sender is to send its message again with this cookie.
     Hello {
-        /// To be said from now on.
+        /// Cookie to include in further messages to this receiver.
         cookie: u64,
-        /// The number of the datagram that this answers.
+        /// Number of the datagram that this hello answers.
         echo: u64,
     },
-    /// A message.
+    /// A message between instances.
     Message {
-        /// What the receiver has asked to be told.
+        /// Cookie that the receiver issued; 0 if the sender has none.
         cookie: u64,
-        /// The sender's life, at random.
+        /// Random session ID of the sender's run.
         session: u64,
-        /// One more with each datagram to anybody.
+        /// Number of the datagram; the sender increments it for each datagram to any receiver.
         number: u64,
-        /// What is said.
+        /// The message itself.
         message: Message,
     },
 }
 
-/// Why a datagram is not heard.
+/// Why a datagram is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DatagramError {
-    /// It is too short, too long, or not what it says.
+    /// The length is out of bounds or the packet cannot be decoded.
     Malformed,
-    /// Of another version.
+    /// The datagram has this other protocol version.
     UnsupportedVersion(u8),
-    /// No such key.
+    /// The datagram names a key that this instance does not have.
     UnknownKey,
-    /// Not signed with its key.
+    /// The tag does not match the named key.
     BadTag,
 }
 
@@ -166,7 +167,7 @@
     }
 }
 
-/// The keys that are alive: all are heard, the first is signed with.
+/// The accepted HMAC keys. Datagrams signed with any of them are accepted; one of them signs outgoing datagrams.
 #[derive(Clone)]
 pub struct Keys {
     signing_key: [u8; 4],
@@ -180,7 +181,7 @@
 }
 
 impl Keys {
-    /// These, by name; the first is signed with. None where there is none.
+    /// Creates the key set from names and secrets; the first key signs. Returns `None` without any key.
     pub fn new<'a>(keys: impl IntoIterator<Item = (&'a str, Vec<u8>)>) -> Option<Keys> {
         let id = |name: &str| {
             let mut id = [0; 4];
@@ -203,7 +204,7 @@
         mac
     }
 
-    /// A datagram; none for a packet that is too long for one.
+    /// Encodes and signs a packet. Returns `None` if it does not fit into a datagram.
     pub fn seal(&self, packet: &Packet) -> Option<Vec<u8>> {
         let mut bytes = vec![VERSION];
         bytes.extend(self.signing_key);
@@ -213,7 +214,7 @@
         (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
     }
 
-    /// What a datagram carries.
+    /// Verifies and decodes a datagram.
     pub fn open(&self, bytes: &[u8]) -> Result<Packet, DatagramError> {
         if bytes.len() < HEADER_BYTES + TAG_BYTES || bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(DatagramError::Malformed);
@@ -225,7 +226,7 @@
         let mut key = [0; 4];
         key.copy_from_slice(&signed[1..HEADER_BYTES]);
         let secret = self.secrets.get(&key).ok_or(DatagramError::UnknownKey)?;
-        // Before anything is read: whoever has no key can do nothing with what it sends.
+        // The tag is verified before anything is decoded, so a sender without a key cannot reach the decoder.
         Keys::mac(secret, signed).verify_truncated_left(tag).map_err(|_| DatagramError::BadTag)?;
         match postcard::take_from_bytes(&signed[HEADER_BYTES..]) {
             Ok((packet, rest)) if rest.is_empty() && names_fit(&packet) => Ok(packet),
@@ -234,7 +235,7 @@
     }
 }
 
-/// Whether names are no longer than they may be; numbers of things are bounded by the datagram.
+/// Returns whether all names have a valid length. The number of items is bounded by the datagram size.
 fn names_fit(packet: &Packet) -> bool {
     let Packet::Message { message, .. } = packet else { return true };
     let fits = |name: &Name| (1..=MAX_NAME_BYTES).contains(&name.len());
@@ -248,7 +249,7 @@
         && fact_names.chain(budget).all(fits)
 }
 
-/// How many bytes something takes in a packet.
+/// Returns the encoded size of a value in a packet, in bytes.
 pub fn encoded_size(value: &impl Serialize) -> usize {
     postcard::experimental::serialized_size(value).unwrap_or(MAX_DATAGRAM_BYTES)
 }
@@ -283,7 +284,7 @@
     #[test]
     fn sealed_packets_open_and_altered_ones_do_not() {
         let both = keys(&[("new", 2), ("old", 1)]);
-        let sealed = both.seal(&packet()).expect("it is short");
+        let sealed = both.seal(&packet()).expect("the packet fits");
         assert_eq!(both.open(&sealed), Ok(packet()));
         for at in 0..sealed.len() {
             assert!(both.open(&sealed[..at]).is_err(), "cut at {at}");
@@ -291,9 +292,9 @@
             altered[at] ^= 1 << (at % 8);
             assert!(both.open(&altered).is_err(), "altered at {at}");
         }
-        // Either key is heard while both are alive; each other's only then.
+        // While both keys are configured, datagrams signed with either are accepted.
         let (old, new) = (keys(&[("old", 1)]), keys(&[("new", 2)]));
-        assert_eq!(both.open(&old.seal(&packet()).expect("short")), Ok(packet()));
+        assert_eq!(both.open(&old.seal(&packet()).expect("the packet fits")), Ok(packet()));
         assert_eq!(old.open(&sealed), Err(DatagramError::UnknownKey));
         assert_eq!(new.open(&sealed), Ok(packet()));
         assert_eq!(keys(&[("new", 3)]).open(&sealed), Err(DatagramError::BadTag));
@@ -309,20 +310,20 @@
         println!("SEED={seed}");
         let mut rng = fastrand::Rng::with_seed(seed);
         let keys = keys(&[("k", 1)]);
-        let good = keys.seal(&packet()).expect("it is short");
+        let sealed = keys.seal(&packet()).expect("the packet fits");
         let signed = |mut bytes: Vec<u8>| {
             let tag = Keys::mac(&keys.secrets[&keys.signing_key], &bytes).finalize().into_bytes();
             bytes.extend(&tag[..TAG_BYTES]);
             bytes
         };
         for _ in 0..50_000 {
-            let mut bytes = good[..good.len() - TAG_BYTES].to_vec();
+            let mut bytes = sealed[..sealed.len() - TAG_BYTES].to_vec();
             for _ in 0..rng.usize(1..6) {
                 let at = rng.usize(HEADER_BYTES..bytes.len());
                 bytes[at] = rng.u8(..);
             }
             bytes.truncate(rng.usize(HEADER_BYTES..=bytes.len()));
-            // It ends, with a bounded packet or none.
+            // Decoding terminates, and a decoded packet has valid name lengths.
             if let Ok(packet) = keys.open(&signed(bytes)) {
                 assert!(names_fit(&packet));
             }
@@ -330,6 +331,6 @@
         let Packet::Message { cookie, session, number, mut message } = packet() else { unreachable!() };
         message.from = "x".repeat(MAX_NAME_BYTES + 1).into();
         let long = Packet::Message { cookie, session, number, message };
-        assert_eq!(keys.open(&keys.seal(&long).expect("it fits")), Err(DatagramError::Malformed));
+        assert_eq!(keys.open(&keys.seal(&long).expect("the packet fits")), Err(DatagramError::Malformed));
     }
 }
--- a/fleet/src/shell.rs
+++ b/fleet/src/shell.rs
@@ -1,4 +1,4 @@
-//! A fleet on UDP: one socket, one task, one timer.
+//! Runs the fleet protocol over UDP: one socket, one task and one timer.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -19,23 +19,23 @@
 use crate::message::{Fact, Keys, Kind, MAX_DATAGRAM_BYTES, Message, Name, State};
 use crate::swim::{Change, Output, Settings, Swim};
 
-/// Whom to be, and whom to ask first.
+/// Configuration of an instance that joins a fleet.
 pub struct FleetConfig {
-    /// This instance's name; no other may have it.
+    /// Name of this instance, unique in the fleet.
     pub name: Name,
-    /// Its zone.
+    /// Zone of this instance.
     pub zone: Name,
-    /// Where it listens.
+    /// Address to listen on.
     pub bind: SocketAddr,
-    /// Where others reach it, if not there.
+    /// Address that other instances send to, if it differs from the bound one.
     pub advertised: Option<SocketAddr>,
-    /// Some that are there, if any.
+    /// Addresses of instances to join through; may be empty.
     pub seeds: Vec<SocketAddr>,
-    /// The keys.
+    /// Keys that sign and verify datagrams.
     pub keys: Keys,
-    /// How it is done.
+    /// Parameters of the membership protocol.
     pub settings: Settings,
-    /// Limits that all share, by name.
+    /// Limits that the whole fleet shares, by name.
     pub budgets: BTreeMap<Name, grants::Settings>,
 }
 
@@ -43,13 +43,13 @@
     channel: Channel,
     swim: Swim,
     budgets: BTreeMap<Name, Grants>,
-    /// What this instance wants of each.
+    /// Units that this instance demands of each shared limit, by name of the limit.
     demands: BTreeMap<Name, u64>,
-    /// When votes and grants are looked at next.
+    /// When votes and grants are requested next.
     next_grants_at: Micros,
 }
 
-/// An instance's part in its fleet, until it leaves.
+/// An instance's membership in its fleet, from joining until it leaves.
 pub struct Fleet {
     inner: RefCell<Inner>,
     socket: UdpSocket,
@@ -57,29 +57,29 @@
     started_at: Instant,
     wake: Notify,
     changed: Notify,
-    /// Between two looks at votes and grants.
+    /// Interval between two requests for votes and grants.
     grant_interval: Micros,
     task: Cell<Option<AbortHandle>>,
     unsent: Cell<u64>,
 }
 
-/// One instance, as this one sees it.
+/// Status of one instance, as seen by this one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberStatus {
-    /// Its name.
+    /// Name of the instance.
     pub name: Name,
-    /// Where it is.
+    /// UDP address of the instance.
     pub address: SocketAddr,
-    /// In which zone.
+    /// Zone of the instance.
     pub zone: Name,
-    /// How it is.
+    /// Membership state of the instance.
     pub state: State,
-    /// Since when it is so.
+    /// Time since the instance entered this state.
     pub since: Duration,
 }
 
 impl Fleet {
-    /// Joins.
+    /// Binds the socket and starts the task that joins the fleet.
     pub async fn start(config: FleetConfig) -> io::Result<Rc<Fleet>> {
         let socket = UdpSocket::bind(config.bind).await?;
         let local_addr = socket.local_addr()?;
@@ -87,7 +87,8 @@
         getrandom::fill(&mut secret).map_err(|e| io::Error::other(e.to_string()))?;
         let mut channel = Channel::new(config.keys, secret);
         let identity = (config.name.clone(), config.advertised.unwrap_or(local_addr), config.zone);
-        // Only a guess: whoever comes back learns what its life before had come to.
+        // The wall clock is only an initial guess: a restarted instance learns its previous incarnation from the
+        // others.
         let incarnation =
             std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         let incarnation = incarnation.as_micros() as u64;
@@ -124,12 +125,12 @@
         self.started_at.elapsed().as_micros() as Micros
     }
 
-    /// Where it listens.
+    /// Returns the address of the bound socket.
     pub fn local_addr(&self) -> SocketAddr {
         self.local_addr
     }
 
-    /// Waits until somebody has answered, for as long at the most; whether somebody has.
+    /// Waits until an instance has answered the join request, for at most `timeout`. Returns whether one has.
     pub async fn wait_joined(&self, timeout: Duration) -> bool {
         let joined = async {
             while !self.inner.borrow().swim.is_joined() {
@@ -139,12 +140,12 @@
         tokio::time::timeout(timeout, joined).await.is_ok()
     }
 
-    /// Waits until who is there, or what is granted, may be different.
+    /// Waits until the membership, the facts or a grant may have changed.
     pub async fn changed(&self) {
         self.changed.notified().await;
     }
 
-    /// All, this one first.
+    /// Returns the status of all known instances, this one first.
     pub fn members(&self) -> Vec<MemberStatus> {
         let (inner, now) = (self.inner.borrow(), self.now());
         let me = inner.swim.local();
@@ -165,56 +166,59 @@
         std::iter::once(first).chain(others).collect()
     }
 
-    /// How many there are, this one among them: that answer, and that may be sending to upstreams.
+    /// Returns the number of instances that are alive, and the number that may be sending to upstreams. Both include
+    /// this one.
     pub fn instance_counts(&self) -> (usize, usize) {
         let inner = self.inner.borrow();
         (inner.swim.alive_count(), inner.swim.sending_count())
     }
 
-    /// This one's place among those that may be sending, from 0.
+    /// Returns the rank of this instance, from 0, among those that may be sending.
     pub fn rank(&self) -> usize {
         self.inner.borrow().swim.rank()
     }
 
-    /// Datagrams that were not heard, and those that were not sent: for want of bytes, or because the socket would not.
+    /// Returns the number of received datagrams that were rejected, and of outgoing ones that were not sent because of
+    /// the byte limit or a socket error.
     pub fn datagram_losses(&self) -> (u64, u64) {
         let inner = self.inner.borrow();
         (inner.channel.rejected, inner.swim.throttled_sends + self.unsent.get())
     }
 
-    /// What this instance may use of a limit that all share; none for one that is not known.
+    /// Returns the units that this instance may use of a shared limit; `None` if there is no limit of that name.
     pub fn allowance(&self, budget: &str) -> Option<u64> {
         self.inner.borrow().budgets.get(budget).map(|grants| grants.allowance(self.now()))
     }
 
-    /// Whether this instance hands a limit out.
+    /// Returns whether this instance is the coordinator of a shared limit.
     pub fn is_coordinator(&self, budget: &str) -> bool {
         self.inner.borrow().budgets.get(budget).is_some_and(|grants| grants.is_coordinator(self.now()))
     }
 
-    /// What it would use of it, if it might.
+    /// Sets the units that this instance would use of a shared limit if they were granted.
     pub fn set_demand(&self, budget: &Name, demand: u64) {
         self.inner.borrow_mut().demands.insert(budget.clone(), demand);
     }
 
-    /// Something that this instance has seen and all should know.
+    /// Records a fact that this instance observed and spreads it to the fleet.
     pub fn record_fact(&self, fact: Fact) {
         let now = self.now();
         self.inner.borrow_mut().swim.record_fact(now, fact);
         self.process_outputs(now);
     }
 
-    /// The nodes of a pool that drain by the word of others, for a source that has come to a revision.
+    /// Returns the nodes of a pool that drain according to other instances, where the own source has reached
+    /// `revision`.
     pub fn draining_nodes(&self, pool: &Name, revision: u64) -> Vec<Name> {
         self.inner.borrow().swim.facts().draining_nodes(pool, revision)
     }
 
-    /// Other keys from now on.
+    /// Replaces the keys.
     pub fn set_keys(&self, keys: Keys) {
         self.inner.borrow_mut().channel.set_keys(keys);
     }
 
-    /// Says that it leaves; from then on it is silent.
+    /// Announces that this instance leaves and stops its task.
     pub fn leave(&self) {
         let now = self.now();
         self.inner.borrow_mut().swim.leave(now);
@@ -233,7 +237,7 @@
         let wake_at = self.started_at + Duration::from_micros(due.min(self.now() + 3_600_000_000));
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         tokio::select! {
-            // An error is what a peer that is not there any more sends back (ICMP); there is nothing to be done.
+            // A receive error reports a peer that is gone (ICMP port unreachable); nothing needs to be done.
             received = self.socket.recv_from(&mut bytes) => if let Ok((length, from)) = received {
                 self.handle_datagram(from, &bytes[..length]);
             },
@@ -249,15 +253,15 @@
     }
 
     fn send(&self, to: SocketAddr, datagram: Option<Vec<u8>>) {
-        // As with any datagram that is lost: it is said again.
+        // A failed send counts as a lost datagram; the protocol repeats messages.
         let sent = datagram.is_some_and(|bytes| self.socket.try_send_to(&bytes, to).is_ok());
         self.unsent.set(self.unsent.get() + u64::from(!sent));
     }
 
     fn handle_datagram(&self, from: SocketAddr, bytes: &[u8]) {
         let now = self.now();
-        let heard = self.inner.borrow_mut().channel.open(now, from, bytes);
-        match heard {
+        let received = self.inner.borrow_mut().channel.open(now, from, bytes);
+        match received {
             Received::Message(message) => {
                 if let Kind::Grants(budget, grant) = &message.kind {
                     self.handle_grant_message(now, from, &message.from, budget, *grant);
@@ -276,13 +280,13 @@
         &self,
         now: Micros,
         from: SocketAddr,
-        by: &Name,
+        sender: &Name,
         budget: &Name,
         message: GrantMessage,
     ) {
         let answer = {
             let mut inner = self.inner.borrow_mut();
-            inner.budgets.get_mut(budget).and_then(|grants| grants.handle_message(now, by, message))
+            inner.budgets.get_mut(budget).and_then(|grants| grants.handle_message(now, sender, message))
         };
         if let Some(answer) = answer {
             self.send_grant_message(now, from, budget, answer);
@@ -301,7 +305,7 @@
         self.send(to, datagram);
     }
 
-    /// Asks for grants, and for votes where this is the first by name of those that answer.
+    /// Requests grants. Requests votes if this instance is the first by name among those that are alive.
     fn renew_grants(&self, now: Micros) {
         if now < self.inner.borrow().next_grants_at || self.inner.borrow().swim.is_silent() {
             return;
@@ -330,8 +334,8 @@
                             let vote = grants.request_votes(now);
                             outgoing.extend(alive.iter().map(|(_, to)| (*to, budget.clone(), vote)));
                         }
-                        let ask = grants.request_grant(now, demand);
-                        if let Some(grant) = grants.handle_message(now, &me, ask) {
+                        let request = grants.request_grant(now, demand);
+                        if let Some(grant) = grants.handle_message(now, &me, request) {
                             grants.handle_message(now, &me, grant);
                         }
                     }
@@ -368,8 +372,8 @@
         Change::Died(name) => tell!(FLEET_DIED, instance = %name; "fleet: {name} is held for dead"),
         Change::Left(name) => tell!(FLEET_LEFT, instance = %name; "fleet: {name} has left"),
         Change::NameConflict(at, silent) => {
-            let what = if *silent { "this one falls silent" } else { "this one goes on" };
-            tell!(FLEET_TWIN, at = %at; "fleet: {at} has this instance's name; {what}");
+            let outcome = if *silent { "this one falls silent" } else { "this one goes on" };
+            tell!(FLEET_TWIN, at = %at; "fleet: {at} has this instance's name; {outcome}");
         }
         Change::Fact(_) => {}
     }
--- a/fleet/src/swim.rs
+++ b/fleet/src/swim.rs
@@ -1,15 +1,19 @@
-//! Who is alive. Each instance asks one other after the other, in an order drawn anew for each round, whether it is there; one
-//! that does not answer is asked through others, then suspected, then held for dead. What is said of instances goes beside
-//! all messages, so that an instance sends and hears the same number of bytes at any size of the fleet.
+//! Failure detection and membership by the SWIM protocol.
 //!
-//! - **False alarms.** Whoever is suspected hears of it and says that it lives. Whose own questions fail is slower to suspect
-//!   others (it may be the one that can't hear), and a suspicion that others share ends sooner than a lonely one.
-//! - **The same again.** An instance that comes back hears what was said of its former life and says a higher incarnation
-//!   than that; its clock is not asked.
-//! - **Partitions.** Those held for dead are asked now and then for as long as they are known, and all that is known is
-//!   compared with one other now and then: both sides find each other again.
-//! - **Twins.** Two that are known by one name refute each other; after [`QUARRELS`] times each says so, and the one with
-//!   the higher address falls silent.
+//! Each instance probes one other instance per period, in an order that it shuffles anew for each round. A target that
+//! does not acknowledge is probed indirectly through other instances, then suspected, then declared dead. Membership
+//! updates are piggybacked on all messages, so the bytes that an instance sends and receives do not grow with the size
+//! of the fleet.
+//!
+//! - **False alarms.** A suspected instance receives the suspicion and refutes it. An instance whose own probes fail
+//!   waits longer before it suspects others, because its own receive path may be at fault. A suspicion that several
+//!   instances report expires sooner than one that a single instance reports.
+//! - **Restarts.** A restarted instance receives the updates about its previous run and announces a higher incarnation
+//!   than theirs. Its wall clock is not needed for that.
+//! - **Partitions.** Dead members are probed occasionally until they are forgotten, and the membership list is
+//!   occasionally exchanged with one random member. Both sides of a healed partition find each other that way.
+//! - **Name conflicts.** Two instances with the same name refute each other. After [`NAME_CONFLICT_THRESHOLD`]
+//!   messages under its own name each of them reports the conflict, and the one with the higher address stops sending.
 //!
 //! No I/O; times are microseconds of the instance's own clock.
 
@@ -21,39 +25,41 @@
 use crate::facts::{FactStore, GossipQueue};
 use crate::message::{Fact, Kind, MAX_PACKET_BYTES, Message, Name, State, Update, encoded_size};
 
-/// Times that an instance hears its own name from elsewhere before it believes that there is another of that name.
+/// Messages under its own name from another address after which an instance reports a name conflict.
 pub const NAME_CONFLICT_THRESHOLD: u32 = 3;
-/// Most that are known at once, dead ones among them.
+/// Maximum number of members that an instance tracks at once, including dead ones.
 pub const MAX_MEMBERS: usize = 8_192;
-/// Steps of patience beyond the usual, where one's own questions fail.
+/// Maximum local health score. The acknowledgement timeout is multiplied by one plus this score, which rises while the
+/// instance's own probes fail.
 const MAX_LOCAL_HEALTH: u32 = 8;
-/// Bytes of news beside a message. Guards the wire: a message is as long in any fleet.
+/// Maximum bytes of membership updates piggybacked on a message. Keeps the message size independent of the fleet size.
 const MAX_PIGGYBACK_BYTES: usize = 420;
-/// Bytes around a message that are not its own (headers of the packet, of UDP and IP).
+/// Estimated overhead of a message in bytes: packet header and tag, UDP and IP headers.
 const PACKET_OVERHEAD_BYTES: usize = 80;
-/// Rounds between two comparisons with another, and between two questions to one that is held for dead.
+/// Probe rounds between two membership exchanges with a random member, and between two probes of a dead member.
 const SYNC_INTERVAL_ROUNDS: u32 = 16;
-/// Longest pause between two tries to join, in periods.
+/// Maximum pause between two join attempts, in probe periods.
 const MAX_JOIN_PAUSE_PERIODS: u32 = 32;
 
-/// How it is done.
+/// Timing and bandwidth parameters of the SWIM protocol.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// From one question to the next.
+    /// Time between two probes.
     pub period: Micros,
-    /// How long an answer may take before others are asked to help; a part of the period.
+    /// Time to wait for an acknowledgement before indirect probes are sent. Shorter than `period`.
     pub ack_timeout: Micros,
-    /// How many are asked to help.
+    /// Number of members that are asked to probe an unresponsive target.
     pub indirect_probes: usize,
-    /// Suspicion lasts so many periods for each factor of ten of the fleet's size, if others share it.
+    /// Shortest duration of a suspicion, in periods per factor of ten of the fleet size. Applies when enough other
+    /// members confirm it.
     pub suspicion_periods: f64,
-    /// A lonely one lasts so many times as long.
+    /// Factor by which a suspicion that no other member confirms lasts longer than the shortest duration.
     pub unconfirmed_factor: f64,
-    /// News are said so many times for each factor of two of the fleet's size.
+    /// Number of times an update is sent, per factor of two of the fleet size.
     pub gossip_factor: u32,
-    /// Bytes that may be sent each second.
+    /// Maximum bytes that the instance sends per second.
     pub bytes_per_second: f64,
-    /// How long the dead are known.
+    /// Time for which dead members and members that left are remembered.
     pub dead_retention: Micros,
 }
 
@@ -72,55 +78,56 @@
     }
 }
 
-/// Something to do.
+/// An action that the caller has to carry out for the state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send a message.
+    /// Send the message to the address.
     Send(SocketAddr, Message),
-    /// Something has changed.
+    /// Report a change of membership or facts.
     Changed(Change),
 }
 
-/// What has changed.
+/// A change of membership or facts that the instance reports.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// An instance is there, for the first time or again.
+    /// The instance is alive: newly discovered, or back after it died or left.
     Joined(Name),
-    /// It doesn't answer.
+    /// The instance does not acknowledge probes and is suspected.
     Suspected(Name),
-    /// It is held for dead.
+    /// The suspicion expired without refutation; the instance is considered dead.
     Died(Name),
-    /// It has said that it leaves.
+    /// The instance announced that it leaves the fleet.
     Left(Name),
-    /// Something new was heard of a node.
+    /// A new fact about an upstream node was received.
     Fact(Fact),
-    /// Another has this one's name, there. This one has fallen silent, or not.
+    /// Another instance at the given address uses this instance's name. The flag tells whether this instance has
+    /// stopped sending.
     NameConflict(SocketAddr, bool),
 }
 
-/// What is known of another.
+/// What this instance knows about another member.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// What was said last.
+    /// The latest accepted membership update about the member.
     pub update: Update,
-    /// Since when it is as it is.
+    /// Time of the last change of the member's state or incarnation.
     pub since: Micros,
-    /// When a suspicion ends, and who shares it.
+    /// When the suspicion of this member expires, or when the dead member is forgotten; 0 while it is alive.
     expires_at: Micros,
     confirmed_by: BTreeSet<Name>,
 }
 
-/// A question under way.
+/// A probe of this instance that awaits an acknowledgement.
 #[derive(Debug)]
 struct Probe {
     sequence: u32,
     target: Name,
-    /// When others are asked, until they have been.
+    /// When indirect probes are sent; `None` once they have been.
     indirect_at: Option<Micros>,
     acked: bool,
 }
 
-/// A question that another has asked to be asked.
+/// An indirect probe that this instance sends on behalf of another instance.
 #[derive(Debug)]
 struct RelayedProbe {
     sequence: u32,
@@ -129,13 +136,13 @@
     expires_at: Micros,
 }
 
-/// One instance's view of all.
+/// SWIM state machine: one instance's view of the fleet.
 #[derive(Debug)]
 pub struct Swim {
     settings: Settings,
     local: Update,
     members: BTreeMap<Name, Member>,
-    /// The round's order, and how far it is.
+    /// Members in the order in which the current round probes them.
     probe_order: Vec<Name>,
     probe_index: usize,
     probe: Option<Probe>,
@@ -143,28 +150,29 @@
     last_sequence: u32,
     probe_rounds: u32,
     next_probe_at: Micros,
-    /// Ends of suspicions, and when the dead are forgotten.
+    /// When suspicions expire and dead members are forgotten, by time and member name.
     deadlines: BTreeSet<(Micros, Name)>,
     update_queue: GossipQueue<Update>,
     fact_queue: GossipQueue<Fact>,
     facts: FactStore,
     local_health: u32,
     seeds: Vec<SocketAddr>,
-    /// When to join again, and the pause after that; none once somebody has answered.
+    /// Time of the next join attempt and the pause after it, in periods. `None` once an instance has answered.
     next_join: Option<(Micros, u32)>,
     name_conflicts: u32,
     silent: bool,
     send_allowance: f64,
     refilled_at: Micros,
-    /// Messages that were not sent for want of bytes.
+    /// Number of messages that were not sent because the byte allowance was used up.
     pub throttled_sends: u64,
     rng: fastrand::Rng,
     outputs: VecDeque<Output>,
 }
 
 impl Swim {
-    /// An instance that has just come; it knows nobody but seeds, which may name itself. Its incarnation only has to be
-    /// likely to be higher than that of its life before; where it isn't it learns so.
+    /// Creates an instance that knows only the seed addresses, which may include its own. `incarnation` should be
+    /// higher than that of the previous run under this name; if it is not, the instance learns that from the others
+    /// and raises it.
     pub fn new(
         now: Micros,
         (name, address, zone): (Name, SocketAddr, Name),
@@ -174,13 +182,13 @@
         seed: u64,
     ) -> Swim {
         let mut rng = fastrand::Rng::with_seed(seed);
-        // Thousands that start at once do not ask at once.
+        // A random first deadline keeps thousands of instances that start together from sending at once.
         let first = now + (rng.f64() * settings.period as f64) as Micros;
-        let me = Update { name, address, zone, incarnation, state: State::Alive };
+        let local = Update { name, address, zone, incarnation, state: State::Alive };
         let seeds = seeds.into_iter().filter(|seed| *seed != address).collect();
         Swim {
             settings,
-            local: me,
+            local,
             members: BTreeMap::new(),
             probe_order: Vec::new(),
             probe_index: 0,
@@ -206,65 +214,68 @@
         }
     }
 
-    /// The next thing to do.
+    /// Returns the next action to carry out, if any.
     pub fn next_output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// When [`ring`](Swim::ring) is due.
+    /// Returns the time at which [`on_timer`](Swim::on_timer) is due.
     pub fn next_deadline(&self) -> Micros {
         let indirect = self.probe.as_ref().filter(|probe| !probe.acked).and_then(|probe| probe.indirect_at);
-        let ends = self.deadlines.first().map(|(at, _)| *at);
+        let deadline = self.deadlines.first().map(|(at, _)| *at);
         let join = self.next_join.map(|(at, _)| at);
-        [indirect, ends, join].into_iter().flatten().fold(self.next_probe_at, Micros::min)
+        [indirect, deadline, join].into_iter().flatten().fold(self.next_probe_at, Micros::min)
     }
 
-    /// All that are known besides this one.
+    /// Returns all known members except this instance.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// What is known of nodes.
+    /// Returns the facts about upstream nodes.
     pub fn facts(&self) -> &FactStore {
         &self.facts
     }
 
-    /// What is said of this one.
+    /// Returns this instance's own membership entry.
     pub fn local(&self) -> &Update {
         &self.local
     }
 
-    /// How many are there, this one among them: those that answer, and those that are only suspected.
+    /// Returns the number of instances that are alive or only suspected, including this one.
     pub fn alive_count(&self) -> usize {
         let is_active = |member: &&Member| matches!(member.update.state, State::Alive | State::Suspect);
         1 + self.members.values().filter(is_active).count()
     }
 
-    /// How many may be sending to the same upstreams, this one among them. One that was never heard to leave may only be
-    /// out of reach, and goes on: it counts for as long as it is known. Guards rule 4 through partitions; what it costs is
-    /// that the parts of those who died are used by nobody until they are forgotten.
+    /// Returns the number of instances that may be sending to the same upstreams, including this one.
+    ///
+    /// An instance that died without leaving may be merely unreachable and still sending, so it counts until it is
+    /// forgotten. This upholds rule 4 during partitions. The cost is that the shares of dead instances stay unused
+    /// until then.
     pub fn sending_count(&self) -> usize {
         1 + self.members.values().filter(|member| member.update.state != State::Left).count()
     }
 
-    /// This one's place among them, by name from 0: each that knows the same others has another.
+    /// Returns the rank of this instance by name, from 0, among those that have not left. Instances with the same
+    /// membership view get distinct ranks.
     pub fn rank(&self) -> usize {
         let before =
             |member: &&Member| member.update.state != State::Left && member.update.name < self.local.name;
         self.members.values().filter(before).count()
     }
 
-    /// Whether somebody has answered, or there is nobody to ask.
+    /// Returns whether an instance has answered the join request, or there are no seeds to ask.
     pub fn is_joined(&self) -> bool {
         self.next_join.is_none() || self.seeds.is_empty()
     }
 
-    /// Whether another has this one's name and this one has given way.
+    /// Returns whether this instance has stopped sending, because it left or lost a name conflict.
     pub fn is_silent(&self) -> bool {
         self.silent
     }
 
-    /// Something that this instance has seen and all should know.
+    /// Records a fact that this instance observed and spreads it to the fleet.
     pub fn record_fact(&mut self, now: Micros, fact: Fact) {
         if self.facts.merge(&fact) {
             self.queue_fact(fact);
@@ -272,36 +283,36 @@
         }
     }
 
-    /// Says at once to some others what can't wait for the next question. Each that hears it does the same once, so all
-    /// know within a few times a message's way.
+    /// Sends queued facts to some random members without waiting for the next probe. Each member forwards a new fact
+    /// once, so it reaches the fleet within a few message delays.
     fn push_facts(&mut self, now: Micros) {
-        let some =
+        let receivers =
             self.random_members(self.settings.indirect_probes, |member| member.update.state == State::Alive);
-        some.into_iter().for_each(|(_, to)| self.send(now, to, Kind::News));
+        receivers.into_iter().for_each(|(_, to)| self.send(now, to, Kind::News));
     }
 
     fn queue_fact(&mut self, fact: Fact) {
-        let (repeats, key) = (self.transmissions(), (fact.pool.clone(), fact.node.clone()));
-        self.fact_queue.push(fact, repeats, |old| (&old.pool, &old.node) == (&key.0, &key.1));
+        let (transmissions, key) = (self.transmissions(), (fact.pool.clone(), fact.node.clone()));
+        self.fact_queue.push(fact, transmissions, |old| (&old.pool, &old.node) == (&key.0, &key.1));
     }
 
-    /// Says to some of the others that this one leaves.
+    /// Announces to some random members that this instance leaves, and stops sending.
     pub fn leave(&mut self, now: Micros) {
         self.local.state = State::Left;
         self.local.incarnation += 1;
-        let some = self.random_members(self.settings.indirect_probes.max(3), |_| true);
-        some.into_iter().for_each(|(_, to)| self.send(now, to, Kind::Members));
+        let receivers = self.random_members(self.settings.indirect_probes.max(3), |_| true);
+        receivers.into_iter().for_each(|(_, to)| self.send(now, to, Kind::Members));
         self.silent = true;
     }
 
-    /// What time brings.
+    /// Handles all deadlines that are due: expired suspicions, join attempts and probes.
     pub fn on_timer(&mut self, now: Micros) {
         while let Some((at, name)) = self.deadlines.first().cloned().filter(|(at, _)| *at <= now) {
             self.deadlines.remove(&(at, name.clone()));
             self.on_deadline(now, &name);
         }
         if self.silent {
-            // Its last question too: nobody will be asked to help with it, so it would be due for ever.
+            // The pending probe is dropped too: its indirect probes are never sent, so its deadline would stay due.
             (self.next_probe_at, self.next_join, self.probe) = (now + self.settings.period, None, None);
             return;
         }
@@ -329,7 +340,7 @@
         }
     }
 
-    /// What becomes of one whose suspicion, or whose time to be known, has ended.
+    /// Declares a suspected member dead when its suspicion expires, and forgets a dead member when its retention ends.
     fn on_deadline(&mut self, now: Micros, name: &Name) {
         let Some(member) = self.members.get(name) else { return };
         match member.update.state {
@@ -342,7 +353,7 @@
         }
     }
 
-    /// The last question was answered, or whom it was put to is suspected.
+    /// Ends the current probe. If the target did not acknowledge it, the target becomes suspected.
     fn finish_probe(&mut self, now: Micros) {
         let Some(probe) = self.probe.take() else { return };
         if probe.acked {
@@ -360,7 +371,7 @@
     fn probe_next(&mut self, now: Micros) {
         self.probe_rounds = self.probe_rounds.wrapping_add(1);
         if self.probe_rounds.is_multiple_of(SYNC_INTERVAL_ROUNDS) {
-            // With any, held for dead or not: that is how the sides of a partition find each other.
+            // Any member, dead ones included: that lets the two sides of a partition find each other.
             if let Some((_, to)) = self.random_members(1, |_| true).pop() {
                 self.send(now, to, Kind::Join);
             }
@@ -373,8 +384,8 @@
             let piggybacked = self.members.get(&name).map(|member| member.update.clone());
             self.send_with(now, to, Kind::Ping(self.last_sequence), piggybacked);
         }
-        // One round asks each once, in an order of its own.
-        let of = loop {
+        // One round probes each active member once, in random order.
+        let target = loop {
             if self.probe_index >= self.probe_order.len() {
                 let is_active =
                     |member: &&Member| matches!(member.update.state, State::Alive | State::Suspect);
@@ -400,27 +411,31 @@
         self.last_sequence = self.last_sequence.wrapping_add(1);
         let timeout = self.settings.ack_timeout * u64::from(1 + self.local_health);
         let indirect_at = Some(now + timeout.min(self.settings.period * 3 / 4));
-        self.probe =
-            Some(Probe { sequence: self.last_sequence, target: of.name.clone(), indirect_at, acked: false });
-        // Whoever is suspected is told so first of all.
-        let piggybacked = (of.state != State::Alive).then(|| of.clone());
-        self.send_with(now, of.address, Kind::Ping(self.last_sequence), piggybacked);
+        self.probe = Some(Probe {
+            sequence: self.last_sequence,
+            target: target.name.clone(),
+            indirect_at,
+            acked: false,
+        });
+        // A suspected target receives the suspicion with the probe, so that it can refute it.
+        let piggybacked = (target.state != State::Alive).then(|| target.clone());
+        self.send_with(now, target.address, Kind::Ping(self.last_sequence), piggybacked);
     }
 
     fn probe_indirectly(&mut self, now: Micros) {
         let Some(probe) = self.probe.as_mut() else { return };
         probe.indirect_at = None;
-        let (number, of) = (probe.sequence, probe.target.clone());
-        let Some(address) = self.members.get(&of).map(|member| member.update.address) else { return };
-        let helpers = self.random_members(self.settings.indirect_probes, |member| {
-            member.update.state == State::Alive && member.update.name != of
+        let (sequence, target) = (probe.sequence, probe.target.clone());
+        let Some(address) = self.members.get(&target).map(|member| member.update.address) else { return };
+        let relays = self.random_members(self.settings.indirect_probes, |member| {
+            member.update.state == State::Alive && member.update.name != target
         });
-        for (_, helper) in helpers {
-            self.send(now, helper, Kind::PingFor(number, address));
+        for (_, relay) in relays {
+            self.send(now, relay, Kind::PingFor(sequence, address));
         }
     }
 
-    /// So many at random of those that are so.
+    /// Returns up to `limit` random members that match the predicate, with their addresses.
     fn random_members(&mut self, limit: usize, matches: impl Fn(&Member) -> bool) -> Vec<(Name, SocketAddr)> {
         let all: Vec<&Member> = self.members.values().filter(|member| matches(member)).collect();
         let chosen = self.rng.choose_multiple(all, limit);
@@ -432,12 +447,12 @@
         self.settings.gossip_factor * size.next_power_of_two().ilog2()
     }
 
-    /// How long a suspicion lasts that so many share.
+    /// Returns how long a suspicion lasts that `confirmations` other members confirm.
     fn suspicion_timeout(&self, confirmations: usize) -> Micros {
         let size = (self.alive_count() as f64).max(2.0);
         let shortest = self.settings.suspicion_periods * size.log10().max(1.0) * self.settings.period as f64;
         let longest = shortest * self.settings.unconfirmed_factor.max(1.0);
-        // With as many as are asked to help it is as short as it gets.
+        // With `indirect_probes` confirmations the suspicion has its shortest duration.
         let fraction =
             (confirmations as f64).ln_1p() / (self.settings.indirect_probes as f64).ln_1p().max(0.1);
         (longest - (longest - shortest) * fraction.min(1.0)) as Micros
@@ -448,20 +463,20 @@
     }
 
     fn refill_allowance(&mut self, now: Micros) {
-        let span = now.saturating_sub(self.refilled_at) as f64 / 1e6;
-        self.send_allowance =
-            (self.send_allowance + span * self.settings.bytes_per_second).min(self.settings.bytes_per_second);
+        let elapsed = now.saturating_sub(self.refilled_at) as f64 / 1e6;
+        self.send_allowance = (self.send_allowance + elapsed * self.settings.bytes_per_second)
+            .min(self.settings.bytes_per_second);
         self.refilled_at = self.refilled_at.max(now);
     }
 
-    fn send_with(&mut self, now: Micros, to: SocketAddr, kind: Kind, first: Option<Update>) {
+    fn send_with(&mut self, now: Micros, to: SocketAddr, kind: Kind, extra: Option<Update>) {
         self.refill_allowance(now);
         if self.send_allowance <= 0.0 {
             self.throttled_sends += 1;
             return;
         }
         let mut updates = vec![self.local.clone()];
-        updates.extend(first);
+        updates.extend(extra);
         updates.extend(self.update_queue.take(MAX_PIGGYBACK_BYTES));
         let facts = self.fact_queue.take(MAX_PIGGYBACK_BYTES / 2);
         let message = Message { from: self.local.name.clone(), kind, updates, facts };
@@ -469,7 +484,7 @@
         self.outputs.push_back(Output::Send(to, message));
     }
 
-    /// Some of those that are known, as many as fit.
+    /// Sends a random selection of the membership list, as many entries as fit into one packet.
     fn send_members(&mut self, now: Micros, to: SocketAddr) {
         self.refill_allowance(now);
         if self.send_allowance <= 0.0 {
@@ -479,7 +494,7 @@
         let mut all: Vec<Update> = self.members.values().map(|member| member.update.clone()).collect();
         self.rng.shuffle(&mut all);
         let mut updates = vec![self.local.clone()];
-        // Whoever has just come has missed what was said of nodes.
+        // A joining instance has missed the earlier gossip of facts.
         let facts = self.facts.sample(&mut self.rng, MAX_PIGGYBACK_BYTES);
         let mut bytes = MAX_PACKET_BYTES - 200 - facts.iter().map(encoded_size).sum::<usize>();
         for update in all {
@@ -492,7 +507,7 @@
         self.outputs.push_back(Output::Send(to, message));
     }
 
-    /// A message has come.
+    /// Handles a message from another instance.
     pub fn handle_message(&mut self, now: Micros, from: SocketAddr, message: Message) {
         if message.from == self.local.name {
             return self.handle_name_conflict(from);
@@ -502,7 +517,7 @@
             let reporter = message.from.clone();
             self.apply_update(now, update, Some(reporter));
         }
-        let new = self.members.len() - known_before.min(self.members.len());
+        let added = self.members.len() - known_before.min(self.members.len());
         let mut learned = false;
         for fact in message.facts {
             if self.facts.merge(&fact) {
@@ -520,19 +535,19 @@
         match message.kind {
             Kind::Ping(number) => self.send(now, from, Kind::Ack(number)),
             Kind::Ack(number) => self.handle_ack(now, number),
-            Kind::PingFor(asked, of) => {
-                // No more than a period's worth of help at once: guards against one that asks without end.
+            Kind::PingFor(requester_sequence, target) => {
+                // The bound protects against an instance that requests indirect probes without end.
                 if self.relayed_probes.len() < 64 {
                     self.last_sequence = self.last_sequence.wrapping_add(1);
-                    let until = now + self.settings.period;
+                    let expires_at = now + self.settings.period;
                     let relayed = RelayedProbe {
                         sequence: self.last_sequence,
                         requester: from,
-                        requester_sequence: asked,
-                        expires_at: until,
+                        requester_sequence,
+                        expires_at,
                     };
                     self.relayed_probes.push_back(relayed);
-                    self.send(now, of, Kind::Ping(self.last_sequence));
+                    self.send(now, target, Kind::Ping(self.last_sequence));
                 }
                 while self.relayed_probes.front().is_some_and(|relayed| relayed.expires_at <= now) {
                     self.relayed_probes.pop_front();
@@ -541,8 +556,8 @@
             Kind::Join => self.send_members(now, from),
             Kind::Members => {
                 self.next_join = None;
-                // Whoever knows few asks on while it learns much.
-                if new * 8 > received {
+                // While a reply still brings many unknown members, request another one.
+                if added * 8 > received {
                     self.send(now, from, Kind::Join);
                 }
             }
@@ -564,25 +579,26 @@
         }
     }
 
-    /// Another has this one's name.
-    fn handle_name_conflict(&mut self, with: SocketAddr) {
-        if with == self.local.address || self.silent {
+    /// Counts a message from another address under this instance's own name. At the threshold the conflict is
+    /// reported, and the instance with the higher address stops sending.
+    fn handle_name_conflict(&mut self, other: SocketAddr) {
+        if other == self.local.address || self.silent {
             return;
         }
         self.name_conflicts += 1;
         if self.name_conflicts == NAME_CONFLICT_THRESHOLD {
-            self.silent = self.local.address > with;
-            self.outputs.push_back(Output::Changed(Change::NameConflict(with, self.silent)));
+            self.silent = self.local.address > other;
+            self.outputs.push_back(Output::Changed(Change::NameConflict(other, self.silent)));
         }
     }
 
-    /// Believes what is said of an instance, if it is later than what is known; by whom it is said.
+    /// Applies a membership update if it supersedes what is known. `reporter` is the instance that sent it.
     fn apply_update(&mut self, now: Micros, update: Update, reporter: Option<Name>) {
         if update.name == self.local.name {
             return self.refute(update);
         }
         let Some(member) = self.members.get_mut(&update.name) else {
-            // Who is dead and not known need not become known.
+            // Unknown members are added only if they are alive or suspected.
             if matches!(update.state, State::Alive | State::Suspect) && self.members.len() < MAX_MEMBERS {
                 let name = update.name.clone();
                 let member = Member {
@@ -592,7 +608,8 @@
                     confirmed_by: BTreeSet::new(),
                 };
                 self.members.insert(name.clone(), member);
-                // Somewhere in the round that goes on, so that it is asked soon and by all at different times.
+                // A random position in the rest of the current round: the new member is probed soon, and by each
+                // instance at a different time.
                 let at =
                     self.rng.usize(self.probe_index.min(self.probe_order.len())..=self.probe_order.len());
                 self.probe_order.insert(at, name.clone());
@@ -604,7 +621,7 @@
         let (current, reported) =
             ((member.update.incarnation, member.update.state), (update.incarnation, update.state));
         if reported == current && update.state == State::Suspect {
-            // Shared by one more: it ends sooner.
+            // Another member confirms the suspicion, so it expires sooner.
             if reporter.is_some_and(|reporter| {
                 member.confirmed_by.len() < 16 && member.confirmed_by.insert(reporter)
             }) {
@@ -616,8 +633,8 @@
                 if let Some(member) = self.members.get_mut(&update.name) {
                     member.expires_at = earlier;
                 }
-                let repeats = self.transmissions();
-                self.update_queue.push(update.clone(), repeats, |old| old.name == update.name);
+                let transmissions = self.transmissions();
+                self.update_queue.push(update.clone(), transmissions, |old| old.name == update.name);
             }
             return;
         }
@@ -642,7 +659,7 @@
         self.schedule_and_gossip(now, &update, reporter);
     }
 
-    /// Passes on what is new of an instance, and sees to when that ends.
+    /// Queues an update for gossip and sets the member's next deadline.
     fn schedule_and_gossip(&mut self, now: Micros, update: &Update, reporter: Option<Name>) {
         let expires_at = match update.state {
             State::Alive => None,
@@ -654,11 +671,11 @@
             member.confirmed_by.extend(reporter.filter(|_| update.state == State::Suspect));
         }
         self.deadlines.extend(expires_at.map(|at| (at, update.name.clone())));
-        let repeats = self.transmissions();
-        self.update_queue.push(update.clone(), repeats, |old| old.name == update.name);
+        let transmissions = self.transmissions();
+        self.update_queue.push(update.clone(), transmissions, |old| old.name == update.name);
     }
 
-    /// Something is said of this one.
+    /// Refutes an update about this instance that is wrong or comes from a previous run, by raising the incarnation.
     fn refute(&mut self, reported: Update) {
         let unchanged = reported.address == self.local.address && reported.state == self.local.state;
         if reported.incarnation < self.local.incarnation
@@ -667,9 +684,9 @@
         {
             return;
         }
-        // Its life before, or what others believe while they can't hear it.
+        // The update comes from a previous run, or from members that cannot reach this instance.
         self.local.incarnation = reported.incarnation.saturating_add(1);
-        let (me, repeats) = (self.local.clone(), self.transmissions());
-        self.update_queue.push(me.clone(), repeats, |old| old.name == me.name);
+        let (local, transmissions) = (self.local.clone(), self.transmissions());
+        self.update_queue.push(local.clone(), transmissions, |old| old.name == local.name);
     }
 }
--- a/fleet/tests/grants.rs
+++ b/fleet/tests/grants.rs
@@ -1,6 +1,7 @@
-//! All histories of three instances, to a stated depth: votes, questions and answers that are lost, late or out of order,
-//! time that passes between any two of them, and an instance that dies and comes back having forgotten everything. At no time
-//! is more granted than there is. The same search with a defence taken out finds the history that breaks it.
+//! Exhaustive check of the grant protocol over all histories of three instances up to a given depth. Messages may be
+//! lost, late or reordered, time may pass between any two events, and an instance may restart without its state. The
+//! granted sum never exceeds the limit. With any one safeguard disabled, the same search finds a history that breaks
+//! the limit.
 
 use std::collections::HashSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -8,13 +9,13 @@
 use sloeline_fleet::grants::{GrantMessage, Grants, Settings};
 use sloeline_fleet::message::Name;
 
-/// A tick is a microsecond.
+/// Settings of the limit under test; one tick is a microsecond.
 const fn settings(term: u64) -> Settings {
     Settings { limit: 2, guaranteed: 0, max_instances: 3, vote_term: term, grant_duration: 2 }
 }
 const INSTANCES: usize = 3;
 
-/// What may happen in a history.
+/// Bounds on the events of a history.
 #[derive(Clone, Copy)]
 struct Depth {
     vote_requests: u8,
@@ -24,15 +25,15 @@
     term: u64,
 }
 
-/// A defence that is taken out.
+/// Safeguard of the protocol that a search disables.
 #[derive(Clone, Copy, PartialEq)]
 enum Disabled {
     Nothing,
-    /// A voter that comes back lends its vote at once.
+    /// A restarted voter lends its vote at once.
     VoterRestartDelay,
-    /// A keeper that comes back is the same life.
+    /// A restarted coordinator has the run ID of its previous run.
     FreshRunId,
-    /// A grant counts from when it arrives.
+    /// The requester measures a grant from its arrival, not from the request.
     RequestTimeBase,
 }
 
@@ -41,7 +42,7 @@
     now: u64,
     instances: Vec<Grants>,
     requested_at: [u64; INSTANCES],
-    /// From, to, what. An order of arrival is not kept.
+    /// Messages in flight: sender, receiver, message. Sorted, because they may arrive in any order.
     in_flight: Vec<(usize, usize, GrantMessage)>,
     vote_requests: u8,
     grant_requests: u8,
@@ -59,7 +60,8 @@
         self.in_flight.sort_unstable();
     }
 
-    /// Whether it changes nothing when a message arrives. To be lost is then the same, and what never arrives is tried anyway.
+    /// Returns whether delivering the message has no effect. Such a delivery equals the loss of the message, which the
+    /// search covers anyway by never delivering it.
     fn has_no_effect(&self, from: usize, to: usize, message: GrantMessage) -> bool {
         let mut instance = self.instances[to].clone();
         instance.handle_message(self.now, &name(from), message).is_none() && instance == self.instances[to]
@@ -78,7 +80,7 @@
         }
     }
 
-    /// All that may happen next.
+    /// Returns all possible next events with their resulting states.
     fn next(&self, depth: Depth, disabled: Disabled) -> Vec<(String, World)> {
         let mut next = Vec::new();
         let mut then = |what: String, change: &dyn Fn(&mut World)| {
@@ -99,7 +101,7 @@
             });
         }
         for of in 0..INSTANCES {
-            // Both that ask for votes are enough for every quarrel.
+            // Two candidates are enough for every conflict.
             if self.vote_requests < depth.vote_requests && of < 2 {
                 then(format!("{of} requests votes"), &|world| {
                     world.vote_requests += 1;
@@ -107,7 +109,7 @@
                     (0..INSTANCES).filter(|to| *to != of).for_each(|to| world.send(of, to, message));
                 });
             }
-            // One of them, and the one who only asks.
+            // Requests from one candidate and from the instance that is no candidate.
             for to in (0..2).filter(|_| self.grant_requests < depth.grant_requests && of != 1) {
                 then(format!("{of} asks {to}"), &|world| {
                     world.grant_requests += 1;
@@ -138,7 +140,7 @@
     }
 }
 
-/// A state by 128 bits: two that share them are not to be expected among so few.
+/// A 128-bit fingerprint of a state. Collisions are not to be expected among so few states.
 fn fingerprint(world: &World) -> u128 {
     let half = |salt: u64| {
         let mut hasher = DefaultHasher::new();
@@ -149,7 +151,7 @@
     half(1) << 64 | half(2)
 }
 
-/// Tries all; how many states there are, or the history that breaks the limit.
+/// Searches all histories. Returns the number of distinct states, or a history that exceeds the limit.
 fn search(depth: Depth, disabled: Disabled) -> Result<usize, Vec<String>> {
     let all =
         (0..INSTANCES).map(|of| Grants::new(0, name(of), 1000 * of as u64, settings(depth.term))).collect();
@@ -178,7 +180,7 @@
             return Err(path);
         }
         let mut world = world;
-        // Answers to old questions are never heard any more.
+        // Drop answers to old requests, which no longer have an effect.
         let all = &world.instances;
         world.in_flight.retain(|(from, to, message)| match message {
             GrantMessage::Lent(_) | GrantMessage::Grant(..) => {
@@ -213,16 +215,16 @@
 #[test]
 fn the_limit_holds_in_every_history() {
     assert_limit_holds(&[
-        // Two who would be keeper, all who ask them both, and a term that ends.
+        // Two candidates, grant requests to both, and a term that ends.
         (Depth { vote_requests: 2, grant_requests: 2, restarts: 0, ticks: 2, term: 2 }, 100_000),
-        // One dies at any moment.
+        // One instance restarts at any moment.
         (Depth { vote_requests: 2, grant_requests: 2, restarts: 1, ticks: 0, term: 2 }, 10_000),
-        // Answers that are late.
+        // Late answers.
         (Depth { vote_requests: 1, grant_requests: 2, restarts: 0, ticks: 3, term: 3 }, 100_000),
     ]);
 }
 
-/// Minutes and some gigabytes: `cargo test --release -p sloeline-fleet --test grants -- --ignored --nocapture`.
+/// Takes minutes and some gigabytes: `cargo test --release -p sloeline-fleet --test grants -- --ignored --nocapture`.
 #[test]
 #[ignore = "long"]
 fn the_limit_holds_in_longer_histories() {
--- a/fleet/tests/swim.rs
+++ b/fleet/tests/swim.rs
@@ -1,4 +1,4 @@
-//! A fleet that knows who is alive: deaths, lives that follow, loss, partitions, twins. `SEED` sets the seed.
+//! Simulation tests of the SWIM membership: deaths, restarts, loss, partitions, name conflicts. `SEED` sets the seed.
 
 mod world;
 
@@ -14,7 +14,7 @@
     seed
 }
 
-/// A fleet that has met.
+/// Returns a fleet in which all instances know each other.
 fn joined_fleet(size: usize) -> World {
     let mut world = World::new(size, Settings::default(), seed());
     let took = world.run_until(60 * SECOND, World::converged).expect("the fleet converges");
@@ -33,12 +33,12 @@
     let took = world.run_until(60 * SECOND, |w| w.count_in_state(&name(17), State::Dead) == SIZE - 1);
     println!("known by all after {} ms", took.expect("every instance learns it") / 1000);
     assert!((0..SIZE).filter(|of| *of != 17).all(|of| world.swim(of).alive_count() == SIZE - 1));
-    // It may only be out of reach: what all share is not divided among fewer.
+    // The dead instance may be merely unreachable, so shares are not divided among fewer instances.
     assert!((0..SIZE).filter(|of| *of != 17).all(|of| world.swim(of).sending_count() == SIZE));
-    // Back under the same name, with a clock that is a year behind its life before.
+    // Restart under the same name, with an incarnation lower than that of the previous run.
     world.start(17, name(17), 0);
     world.run_until(60 * SECOND, World::converged).expect("the restarted instance rejoins");
-    // One that leaves is told apart, at once and by all.
+    // An instance that leaves is recorded as left, not as dead, by all others.
     if let Some(swim) = &mut world.instances[5].swim {
         swim.leave(world.now);
     }
@@ -62,7 +62,7 @@
         println!("{size}: {mean} bytes a second and instance");
         assert!(mean < 2_000, "{mean}");
         let peak = world.instances.iter().map(|instance| instance.peak_bytes).max().unwrap_or(0);
-        // What had gathered, and one message that was begun with something left.
+        // One second of allowance, an equal burst, and one message that may overdraw the allowance.
         assert!((peak as f64) < 2.0 * Settings::default().bytes_per_second + 1_500.0, "{peak} in one second");
     }
 }
@@ -74,19 +74,19 @@
     let sides = |w: &World| (0..SIZE).all(|of| w.swim(of).alive_count() == if of < 13 { 13 } else { 27 });
     let took = world.run_until(120 * SECOND, sides).expect("each side sees only itself");
     println!("partition detected after {} ms", took / 1000);
-    // Neither takes the other's part of what a cold node may get.
+    // Neither side claims the other side's share of a cold node's traffic.
     assert!((0..SIZE).all(|of| world.swim(of).sending_count() == SIZE));
     world.advance_to(world.now + 60 * SECOND);
     world.cut = Box::new(|_, _| false);
     let took = world.run_until(120 * SECOND, World::converged).expect("the sides merge");
     println!("partition healed after {} ms", took / 1000);
 
-    // In one direction only: 7 hears everybody and nobody hears it.
+    // One-way failure: instance 7 receives everything, and nobody receives its messages.
     world.cut = Box::new(|from, _| from == 7);
     world
         .run_until(120 * SECOND, |w| w.count_in_state(&name(7), State::Dead) == SIZE - 1)
         .expect("instance 7 is declared dead");
-    // It doubts itself, and not all the others.
+    // Its local health score rises, so it does not declare all the others dead.
     let dead = world.swim(7).members().filter(|m| m.update.state == State::Dead).count();
     assert!(dead < SIZE / 2, "{dead} instances declared dead by an instance that cannot be heard");
     world.cut = Box::new(|_, _| false);
@@ -106,18 +106,19 @@
     };
     let took = world.run_until(120 * SECOND, known).expect("every instance learns it");
     println!("a third known to be dead after {} ms", took / 1000);
-    // All come back within a second.
+    // All killed instances restart at once.
     let now = world.now;
     (0..SIZE).filter(|of| of % 3 == 0).for_each(|of| world.start(of, name(of), 2));
     world.run_until(120 * SECOND, World::converged).expect("all restarted instances rejoin");
     println!("all rejoined after {} ms", (world.now - now) / 1000);
 }
 
-/// Time has to pass for one that has fallen silent, whatever it had asked when it did: what is always due is a loop without end.
+/// After an instance leaves, its next deadline must lie in the future whatever probe was pending; a deadline that
+/// stays due would make the caller loop without end.
 #[test]
 fn leaving_with_a_pending_probe_leaves_no_overdue_deadline() {
     let mut world = joined_fleet(10);
-    // At every part of a period, so that some questions are unanswered and some due for help.
+    // Leave at different points of a period, with some probes unanswered and some due for indirect probing.
     for (of, part) in (0..10).zip(0..) {
         world.cut = Box::new(move |_, to| to != of && part % 2 == 0);
         world.advance_to(world.now + SECOND + part * SECOND / 10);
@@ -166,7 +167,7 @@
     let all = all.expect("every instance learns it");
     println!("a drain known by all after {} ms", all / 1000);
     assert!(all < 2 * SECOND, "{all}: later than two seconds");
-    // One that comes long after learns it as it joins.
+    // An instance that restarts long after learns the fact when it joins.
     world.advance_to(world.now + 60 * SECOND);
     world.kill(30);
     world.start(30, name(30), 2);
--- a/fleet/tests/world/mod.rs
+++ b/fleet/tests/world/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet in a network of its own: delays, loss, cuts in one direction or both, instances that die and come back. Events
-//! come in the order of their times, one seed gives one history.
+//! A simulated fleet: delays, loss, partitions in one or both directions, instances that die and restart. Events are
+//! processed in time order, so one seed gives one history.
 #![allow(dead_code)]
 
 use std::cmp::Reverse;
@@ -10,21 +10,23 @@
 use sloeline_fleet::swim::{Change, Output, Settings, Swim};
 
 pub const SECOND: u64 = 1_000_000;
-/// Bytes around a message on the wire.
+/// Estimated overhead of a message on the wire, in bytes.
 const PACKET_OVERHEAD_BYTES: u64 = 80;
 
 enum Event {
+    /// The timer of an instance, in its nth run, is due.
     Timer(usize, u32),
+    /// A message arrives at an instance from an address.
     Delivery(usize, SocketAddr, Box<Message>),
 }
 
 pub struct Instance {
     pub swim: Option<Swim>,
-    /// Lives so far: what was meant for one before rings nobody.
+    /// Number of starts so far. Timers of earlier runs are ignored.
     run: u32,
     timer_at: u64,
     pub sent_bytes: u64,
-    /// Most bytes in any second, and in the present one.
+    /// Most bytes sent in any one second.
     pub peak_bytes: u64,
     current_second: (u64, u64),
 }
@@ -37,9 +39,9 @@
     next_event: u64,
     pub rng: fastrand::Rng,
     pub loss: f64,
-    /// Whether a message from one reaches another.
+    /// Returns whether the network drops all messages from the first instance to the second.
     pub cut: Box<dyn Fn(usize, usize) -> bool>,
-    /// What was told, when and by whom.
+    /// Reported changes: time, reporting instance, change.
     pub changes: Vec<(u64, usize, Change)>,
     settings: Settings,
 }
@@ -59,7 +61,7 @@
 }
 
 impl World {
-    /// So many that start within a second and know three of them.
+    /// Starts `size` instances within one period; each has the first three as seeds.
     pub fn new(size: usize, settings: Settings, seed: u64) -> World {
         let mut world = World {
             now: 0,
@@ -108,7 +110,7 @@
         self.next_event += 1;
     }
 
-    /// Carries out what an instance wants.
+    /// Carries out the pending outputs of an instance and schedules its next timer.
     pub fn process_outputs(&mut self, of: usize) {
         while let Some(output) = self.instances[of].swim.as_mut().and_then(Swim::next_output) {
             match output {
@@ -127,8 +129,8 @@
                     let lost = self.rng.f64() < self.loss || (self.cut)(of, index_of(to));
                     if !lost && index_of(to) < self.instances.len() {
                         let delay = self.rng.u64(500..5_000);
-                        let arrives = Event::Delivery(index_of(to), address(of), Box::new(message));
-                        self.schedule(self.now + delay, arrives);
+                        let delivery = Event::Delivery(index_of(to), address(of), Box::new(message));
+                        self.schedule(self.now + delay, delivery);
                     }
                 }
             }
@@ -143,7 +145,7 @@
         }
     }
 
-    /// Lets time pass until then.
+    /// Processes all events up to the time `end`.
     pub fn advance_to(&mut self, end: u64) {
         while let Some(Reverse((at, number))) =
             self.events.peek().copied().filter(|Reverse((at, _))| *at <= end)
@@ -176,13 +178,13 @@
         self.instances[of].swim.as_ref().expect("instance is running")
     }
 
-    /// How many of those that live hold one for that.
+    /// Returns the number of running instances that have the named member in `state`.
     pub fn count_in_state(&self, of: &Name, state: State) -> usize {
         let running = self.instances.iter().filter_map(|instance| instance.swim.as_ref());
         running.filter(|swim| swim.members().any(|m| m.update.name == *of && m.update.state == state)).count()
     }
 
-    /// Whether all that live know all that live as alive.
+    /// Returns whether all running instances see exactly the running instances as alive.
     pub fn converged(&self) -> bool {
         let running = self.instances.iter().filter(|instance| instance.swim.is_some()).count();
         self.instances
@@ -191,7 +193,8 @@
             .all(|swim| 1 + swim.members().filter(|m| m.update.state == State::Alive).count() == running)
     }
 
-    /// Lets time pass until that is so; how long it took, or nothing within the span.
+    /// Advances the time until the condition holds. Returns how long that took, or `None` if it does not hold within
+    /// `span`.
     pub fn run_until(&mut self, span: u64, condition: impl Fn(&World) -> bool) -> Option<u64> {
         let start = self.now;
         while self.now < start + span {
@@ -203,7 +206,7 @@
         None
     }
 
-    /// Deaths that were told of those that lived.
+    /// Returns the number of deaths reported since a time.
     pub fn deaths_since(&self, since: u64) -> usize {
         self.changes
             .iter()
