--- a/fleet/src/channel.rs
+++ b/fleet/src/channel.rs
@@ -37,9 +37,11 @@
 /// Replay window and rate limit of one session of a sender.
 #[derive(Debug)]
 struct Session {
+    /// Highest message number accepted.
     highest_number: u64,
     /// Bit n is set if the number n below the highest has been accepted.
     received_bits: u128,
+    /// When the last message of the session arrived.
     last_received_at: Micros,
     /// Tokens of the rate limit: messages that may be accepted now.
     tokens: f64,
@@ -48,6 +50,7 @@
 /// State for sending to one address.
 #[derive(Debug, Default)]
 struct Peer {
+    /// Cookie that the peer issued; 0 if none is known.
     cookie: u64,
     /// The last datagram sent and not yet answered by a hello: its number, its message in case the cookie was invalid,
     /// and the time.
@@ -70,13 +73,19 @@
 /// An instance's endpoint for exchanging datagrams with all peers.
 #[derive(Debug)]
 pub struct Channel {
+    /// Keys that sign and verify datagrams.
     keys: Keys,
+    /// Random session ID of this run.
     session: u64,
+    /// Number of the last datagram sent to any peer.
     last_number: u64,
     /// The current cookie secret and the previous one.
     secrets: [[u8; 32]; 2],
+    /// When the secrets were last rotated.
     rotated_at: Micros,
+    /// Sessions of senders, by address and session ID.
     sessions: HashMap<(SocketAddr, u64), Session>,
+    /// State for sending, by peer address.
     peers: HashMap<SocketAddr, Peer>,
     rng: fastrand::Rng,
     /// Number of received datagrams that were invalid or dropped.
@@ -108,6 +117,7 @@
         self.keys = keys;
     }
 
+    /// Computes the cookie for a sender's address and session.
     fn cookie(secret: &[u8; 32], from: SocketAddr, session: u64) -> u64 {
         let mut hasher = blake3::Hasher::new_keyed(secret);
         hasher.update(from.to_string().as_bytes());
@@ -118,6 +128,7 @@
         u64::from_le_bytes(bytes).max(1)
     }
 
+    /// Rotates the cookie secrets when they are due and forgets silent sessions.
     fn rotate_secrets(&mut self, now: Micros) {
         if now < self.rotated_at + SECRET_ROTATION_US {
             return;
@@ -153,6 +164,7 @@
         received
     }
 
+    /// Verifies a datagram and answers it with a hello, or accepts its message.
     fn receive(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) -> Received {
         match self.keys.open(bytes) {
             Err(error) => Received::Invalid(error),
@@ -190,6 +202,7 @@
         }
     }
 
+    /// Returns whether the message number is new in its session and within the rate limit, and records it.
     fn accept_once(&mut self, now: Micros, session: (SocketAddr, u64), number: u64) -> bool {
         if !self.sessions.contains_key(&session) && self.sessions.len() >= MAX_SESSIONS {
             return false;
--- a/fleet/src/facts.rs
+++ b/fleet/src/facts.rs
@@ -22,6 +22,7 @@
 /// The facts that an instance knows, by pool and node. Cloning is cheap because the map is shared.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FactStore {
+    /// Latest observation by pool and node name.
     observations: HashMap<(Name, Name), Observation>,
 }
 
@@ -29,12 +30,12 @@
     /// Merges a fact and returns whether that changed the store.
     pub fn merge(&mut self, fact: &Fact) -> bool {
         let key = (fact.pool.clone(), fact.node.clone());
-        let after = match self.observations.get(&key) {
+        let merged = match self.observations.get(&key) {
             Some(before) => merge_observations(*before, fact.seen),
             None if self.observations.len() >= MAX_FACTS => return false,
             None => fact.seen,
         };
-        self.observations.insert(key, after) != Some(after)
+        self.observations.insert(key, merged) != Some(merged)
     }
 
     /// Merges all facts of another store.
@@ -56,7 +57,7 @@
     /// Returns the nodes of a pool for which [`is_draining`](FactStore::is_draining) holds at `revision`.
     pub fn draining_nodes(&self, pool: &Name, revision: u64) -> Vec<Name> {
         let node_in_pool =
-            |((of, node), _): (&(Name, Name), &Observation)| (of == pool).then(|| node.clone());
+            |((node_pool, node), _): (&(Name, Name), &Observation)| (node_pool == pool).then(|| node.clone());
         self.observations
             .iter()
             .filter_map(node_in_pool)
@@ -81,8 +82,8 @@
     /// Forgets the facts of a pool up to `revision`. Call it only when no instance's source can still be behind that
     /// revision.
     pub fn forget_through(&mut self, pool: &Name, revision: u64) {
-        self.observations.retain(|(of, _), Observation::Drain { revision: observed, .. }| {
-            of != pool || *observed > revision
+        self.observations.retain(|(node_pool, _), Observation::Drain { revision: observed, .. }| {
+            node_pool != pool || *observed > revision
         });
     }
 
@@ -97,6 +98,7 @@
     }
 }
 
+/// Merges two observations of one node: the later revision wins, and a drain wins at equal revisions.
 fn merge_observations(a: Observation, b: Observation) -> Observation {
     let Observation::Drain { revision: revision_a, drains: drains_a } = a;
     let Observation::Drain { revision: revision_b, drains: drains_b } = b;
@@ -113,6 +115,7 @@
 /// Queue of items to piggyback on messages, each for a limited number of transmissions.
 #[derive(Clone, Debug)]
 pub struct GossipQueue<T> {
+    /// Items with the number of transmissions left, next one first.
     queue: VecDeque<(T, u32)>,
 }
 
--- a/fleet/src/grants.rs
+++ b/fleet/src/grants.rs
@@ -79,21 +79,30 @@
 /// A request for votes and the instances that have lent theirs in answer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Election {
+    /// Number of the vote request.
     request: u64,
+    /// When the votes were requested.
     requested_at: Micros,
+    /// Instances that have lent their vote in answer to this request.
     voters: Vec<Name>,
 }
 
 /// State of one instance for one shared limit: voter, candidate or coordinator, and holder of a grant.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Grants {
+    /// Name of this instance.
     name: Name,
+    /// Random ID of this run of the instance.
     run_id: u64,
+    /// How the limit is divided.
     settings: Settings,
+    /// When this run started.
     started: Micros,
     /// The run ID that this instance's vote is lent to, and until when.
     vote: Option<(u64, Micros)>,
+    /// The latest request for votes.
     election: Option<Election>,
+    /// This instance is the coordinator until this time.
     coordinator_until: Micros,
     /// Grants issued as the coordinator that may still be valid, by instance name: units and expiry time.
     outstanding: BTreeMap<Name, Vec<(u64, Micros)>>,
@@ -103,6 +112,7 @@
     pending_request: (u64, Micros),
     /// The grant that this instance holds: request number, units, expiry time.
     current_grant: Option<(u64, u64, Micros)>,
+    /// Number of the last vote or grant request.
     last_request: u64,
 }
 
@@ -141,6 +151,7 @@
         now < self.coordinator_until
     }
 
+    /// Shortens a span so that it ends first even on a clock that runs slow.
     fn shorten_for_drift(span: Micros) -> Micros {
         span - span / CLOCK_DRIFT_DIVISOR
     }
@@ -161,8 +172,8 @@
         GrantMessage::Vote(self.run_id, self.last_request)
     }
 
-    /// Lends this instance's vote to the run `candidate`, unless it is lent to another run or this instance started less than
-    /// a term ago.
+    /// Lends this instance's vote to the run `candidate`, unless it is lent to another run or this instance started
+    /// less than a term ago.
     fn lend_vote(&mut self, now: Micros, candidate: u64) -> bool {
         // Any vote that a previous run lent has expired by then.
         if now < self.started + self.settings.vote_term {
@@ -175,6 +186,7 @@
         true
     }
 
+    /// Counts a vote for the current request. A majority makes this instance the coordinator for a term.
     fn record_vote(&mut self, voter: Name, number: u64) {
         let Some(election) = self.election.as_mut().filter(|election| election.request == number) else {
             return;
@@ -223,6 +235,7 @@
         }
     }
 
+    /// Answers a grant request if this instance is the coordinator.
     fn issue_grant(&mut self, now: Micros, to: &Name, number: u64, demand: u64) -> Option<GrantMessage> {
         if !self.is_coordinator(now)
             || (!self.demands.contains_key(to) && self.demands.len() >= MAX_TRACKED_INSTANCES)
@@ -284,6 +297,7 @@
         grant_duration: 2 * SECOND,
     };
 
+    /// Four instances that have just started.
     fn fleet() -> Vec<Grants> {
         (0..4).map(|n| Grants::new(0, format!("n{n}").into(), n, SETTINGS)).collect()
     }
@@ -299,10 +313,11 @@
         }
     }
 
-    fn request_grant(fleet: &mut [Grants], now: Micros, of: usize, demand: u64) {
-        let (message, name) = (fleet[of].request_grant(now, demand), fleet[of].name.clone());
+    /// Requests a grant from the first instance and delivers the answer.
+    fn request_grant(fleet: &mut [Grants], now: Micros, requester: usize, demand: u64) {
+        let (message, name) = (fleet[requester].request_grant(now, demand), fleet[requester].name.clone());
         if let Some(grant) = fleet[0].handle_message(now, &name, message) {
-            fleet[of].handle_message(now, &"n0".into(), grant);
+            fleet[requester].handle_message(now, &"n0".into(), grant);
         }
     }
 
@@ -325,7 +340,7 @@
             let now = FIRST_VOTE_AT + round * SECOND / 2;
             [(1, 5_000), (2, 5_000), (3, 50)]
                 .into_iter()
-                .for_each(|(of, demand)| request_grant(&mut fleet, now, of, demand));
+                .for_each(|(requester, demand)| request_grant(&mut fleet, now, requester, demand));
         }
         let now = FIRST_VOTE_AT + 3 * SECOND / 2;
         // The first instance's initial grant counts until it expires, although it has requested less since.
@@ -334,7 +349,7 @@
             let now = FIRST_VOTE_AT + round * SECOND / 2;
             [(1, 5_000), (2, 5_000), (3, 50)]
                 .into_iter()
-                .for_each(|(of, demand)| request_grant(&mut fleet, now, of, demand));
+                .for_each(|(requester, demand)| request_grant(&mut fleet, now, requester, demand));
         }
         let now = FIRST_VOTE_AT + 8 * SECOND / 2;
         assert_eq!(fleet[1..].iter().map(|f| f.granted(now)).collect::<Vec<_>>(), [275, 275, 50]);
--- a/fleet/src/message.rs
+++ b/fleet/src/message.rs
@@ -170,7 +170,9 @@
 /// The accepted HMAC keys. Datagrams signed with any of them are accepted; one of them signs outgoing datagrams.
 #[derive(Clone)]
 pub struct Keys {
+    /// ID of the key that signs outgoing datagrams.
     signing_key: [u8; 4],
+    /// Secrets of all accepted keys, by key ID.
     secrets: BTreeMap<[u8; 4], Vec<u8>>,
 }
 
@@ -197,6 +199,7 @@
         Some(Keys { signing_key: first?, secrets })
     }
 
+    /// Starts an HMAC-SHA256 over `bytes`.
     fn mac(secret: &[u8], bytes: &[u8]) -> Hmac<Sha256> {
         let mut mac: Hmac<Sha256> =
             Hmac::new_from_slice(secret).unwrap_or_else(|_| unreachable!("a key of any length"));
--- a/fleet/src/shell.rs
+++ b/fleet/src/shell.rs
@@ -39,9 +39,13 @@
     pub budgets: BTreeMap<Name, grants::Settings>,
 }
 
+/// Protocol state machines of the instance, behind one cell.
 struct Inner {
+    /// Signs outgoing datagrams and verifies received ones.
     channel: Channel,
+    /// Membership state.
     swim: Swim,
+    /// Grant state of each shared limit, by name of the limit.
     budgets: BTreeMap<Name, Grants>,
     /// Units that this instance demands of each shared limit, by name of the limit.
     demands: BTreeMap<Name, u64>,
@@ -52,14 +56,21 @@
 /// An instance's membership in its fleet, from joining until it leaves.
 pub struct Fleet {
     inner: RefCell<Inner>,
+    /// Socket for all datagrams.
     socket: UdpSocket,
+    /// Address of the bound socket.
     local_addr: SocketAddr,
+    /// Origin of this instance's clock.
     started_at: Instant,
+    /// Wakes the task before its next deadline.
     wake: Notify,
+    /// Signals that membership, facts or grants may have changed.
     changed: Notify,
     /// Interval between two requests for votes and grants.
     grant_interval: Micros,
+    /// Handle to stop the task.
     task: Cell<Option<AbortHandle>>,
+    /// Number of datagrams that could not be sent.
     unsent: Cell<u64>,
 }
 
@@ -121,6 +132,7 @@
         Ok(fleet)
     }
 
+    /// Returns the microseconds since the start.
     fn now(&self) -> Micros {
         self.started_at.elapsed().as_micros() as Micros
     }
@@ -228,6 +240,7 @@
         }
     }
 
+    /// Waits for a datagram, a deadline or a wake-up, and handles it.
     async fn run_once(&self) {
         let due = {
             let inner = self.inner.borrow();
@@ -252,12 +265,14 @@
         self.process_outputs(now);
     }
 
+    /// Sends a datagram, and counts it as unsent if there is none or the socket refuses it.
     fn send(&self, to: SocketAddr, datagram: Option<Vec<u8>>) {
         // A failed send counts as a lost datagram; the protocol repeats messages.
         let sent = datagram.is_some_and(|bytes| self.socket.try_send_to(&bytes, to).is_ok());
         self.unsent.set(self.unsent.get() + u64::from(!sent));
     }
 
+    /// Handles a received datagram.
     fn handle_datagram(&self, from: SocketAddr, bytes: &[u8]) {
         let now = self.now();
         let received = self.inner.borrow_mut().channel.open(now, from, bytes);
@@ -276,6 +291,7 @@
         }
     }
 
+    /// Passes a grant message to its shared limit and sends the answer.
     fn handle_grant_message(
         &self,
         now: Micros,
@@ -296,6 +312,7 @@
         }
     }
 
+    /// Sends a grant message for a shared limit.
     fn send_grant_message(&self, now: Micros, to: SocketAddr, budget: &Name, message: GrantMessage) {
         let datagram = {
             let mut inner = self.inner.borrow_mut();
@@ -348,6 +365,7 @@
         self.changed.notify_one();
     }
 
+    /// Carries out the pending actions of the membership state machine.
     fn process_outputs(&self, now: Micros) {
         loop {
             let Some(output) = self.inner.borrow_mut().swim.next_output() else { return };
@@ -365,6 +383,7 @@
     }
 }
 
+/// Logs a change of membership.
 fn log_change(change: &Change) {
     match change {
         Change::Joined(name) => tell!(FLEET_CAME, instance = %name; "fleet: {name} is there"),
--- a/fleet/src/swim.rs
+++ b/fleet/src/swim.rs
@@ -30,8 +30,8 @@
 /// Maximum number of members that an instance tracks at once, including dead ones.
 pub const MAX_MEMBERS: usize = 8_192;
 /// Maximum local health score. The acknowledgement timeout is multiplied by one plus this score, which rises while the
-/// instance's own probes fail.
-const MAX_LOCAL_HEALTH: u32 = 8;
+/// instance's own probes fail. The timeout is capped at three quarters of the probe period.
+const MAX_LOCAL_HEALTH_SCORE: u32 = 8;
 /// Maximum bytes of membership updates piggybacked on a message. Keeps the message size independent of the fleet size.
 const MAX_PIGGYBACK_BYTES: usize = 420;
 /// Estimated overhead of a message in bytes: packet header and tag, UDP and IP headers.
@@ -114,16 +114,20 @@
     pub since: Micros,
     /// When the suspicion of this member expires, or when the dead member is forgotten; 0 while it is alive.
     expires_at: Micros,
+    /// Members that reported the current suspicion.
     confirmed_by: BTreeSet<Name>,
 }
 
 /// A probe of this instance that awaits an acknowledgement.
 #[derive(Debug)]
 struct Probe {
+    /// Sequence number of the ping, repeated in its acknowledgement.
     sequence: u32,
+    /// Name of the probed member.
     target: Name,
     /// When indirect probes are sent; `None` once they have been.
     indirect_at: Option<Micros>,
+    /// Whether an acknowledgement has arrived, directly or through a relay.
     acked: bool,
 }
 
@@ -131,7 +135,9 @@
 #[derive(Debug)]
 struct RelayedProbe {
     sequence: u32,
+    /// Address of the instance that requested the probe.
     requester: SocketAddr,
+    /// Sequence number under which the requester expects the acknowledgement.
     requester_sequence: u32,
     expires_at: Micros,
 }
@@ -139,33 +145,53 @@
 /// SWIM state machine: one instance's view of the fleet.
 #[derive(Debug)]
 pub struct Swim {
+    /// Parameters of the protocol.
     settings: Settings,
+    /// Membership entry of this instance.
     local: Update,
+    /// Known members except this instance, by name.
     members: BTreeMap<Name, Member>,
     /// Members in the order in which the current round probes them.
     probe_order: Vec<Name>,
+    /// Position in `probe_order` of the next member to probe.
     probe_index: usize,
+    /// The probe of the current period.
     probe: Option<Probe>,
+    /// Indirect probes under way for other instances, oldest first.
     relayed_probes: VecDeque<RelayedProbe>,
+    /// Sequence number of the last ping sent.
     last_sequence: u32,
+    /// Number of probe periods so far.
     probe_rounds: u32,
+    /// When the current probe ends and the next one starts.
     next_probe_at: Micros,
     /// When suspicions expire and dead members are forgotten, by time and member name.
     deadlines: BTreeSet<(Micros, Name)>,
+    /// Membership updates to piggyback on messages.
     update_queue: GossipQueue<Update>,
+    /// Facts to piggyback on messages.
     fact_queue: GossipQueue<Fact>,
+    /// Facts about upstream nodes known to this instance.
     facts: FactStore,
-    local_health: u32,
+    /// Score that rises by one with each failed probe, up to [`MAX_LOCAL_HEALTH_SCORE`], and falls by one with each
+    /// acknowledged probe.
+    local_health_score: u32,
+    /// Addresses through which to join the fleet.
     seeds: Vec<SocketAddr>,
     /// Time of the next join attempt and the pause after it, in periods. `None` once an instance has answered.
     next_join: Option<(Micros, u32)>,
+    /// Number of messages received under this instance's own name from another address.
     name_conflicts: u32,
+    /// Whether this instance has stopped sending.
     silent: bool,
+    /// Bytes that may be sent now; refilled at `bytes_per_second`.
     send_allowance: f64,
+    /// When `send_allowance` was last refilled.
     refilled_at: Micros,
     /// Number of messages that were not sent because the byte allowance was used up.
     pub throttled_sends: u64,
     rng: fastrand::Rng,
+    /// Actions that the caller has not taken yet.
     outputs: VecDeque<Output>,
 }
 
@@ -201,7 +227,7 @@
             update_queue: GossipQueue::default(),
             fact_queue: GossipQueue::default(),
             facts: FactStore::default(),
-            local_health: 0,
+            local_health_score: 0,
             seeds,
             next_join: Some((first, 1)),
             name_conflicts: 0,
@@ -291,6 +317,7 @@
         receivers.into_iter().for_each(|(_, to)| self.send(now, to, Kind::News));
     }
 
+    /// Queues a fact for gossip.
     fn queue_fact(&mut self, fact: Fact) {
         let (transmissions, key) = (self.transmissions(), (fact.pool.clone(), fact.node.clone()));
         self.fact_queue.push(fact, transmissions, |old| (&old.pool, &old.node) == (&key.0, &key.1));
@@ -357,10 +384,10 @@
     fn finish_probe(&mut self, now: Micros) {
         let Some(probe) = self.probe.take() else { return };
         if probe.acked {
-            self.local_health = self.local_health.saturating_sub(1);
+            self.local_health_score = self.local_health_score.saturating_sub(1);
             return;
         }
-        self.local_health = (self.local_health + 1).min(MAX_LOCAL_HEALTH);
+        self.local_health_score = (self.local_health_score + 1).min(MAX_LOCAL_HEALTH_SCORE);
         let alive = self.members.get(&probe.target).filter(|member| member.update.state == State::Alive);
         if let Some(update) = alive.map(|member| Update { state: State::Suspect, ..member.update.clone() }) {
             let reporter = self.local.name.clone();
@@ -368,6 +395,7 @@
         }
     }
 
+    /// Starts the probe of the next member, and from time to time probes a dead member or exchanges membership lists.
     fn probe_next(&mut self, now: Micros) {
         self.probe_rounds = self.probe_rounds.wrapping_add(1);
         if self.probe_rounds.is_multiple_of(SYNC_INTERVAL_ROUNDS) {
@@ -409,7 +437,7 @@
             }
         };
         self.last_sequence = self.last_sequence.wrapping_add(1);
-        let timeout = self.settings.ack_timeout * u64::from(1 + self.local_health);
+        let timeout = self.settings.ack_timeout * u64::from(1 + self.local_health_score);
         let indirect_at = Some(now + timeout.min(self.settings.period * 3 / 4));
         self.probe = Some(Probe {
             sequence: self.last_sequence,
@@ -422,6 +450,7 @@
         self.send_with(now, target.address, Kind::Ping(self.last_sequence), piggybacked);
     }
 
+    /// Asks some other members to probe the target of the current probe.
     fn probe_indirectly(&mut self, now: Micros) {
         let Some(probe) = self.probe.as_mut() else { return };
         probe.indirect_at = None;
@@ -442,6 +471,7 @@
         chosen.into_iter().map(|member| (member.update.name.clone(), member.update.address)).collect()
     }
 
+    /// Returns how many times an update is sent, which grows with the logarithm of the fleet size.
     fn transmissions(&self) -> u32 {
         let size = self.members.len() as u32 + 2;
         self.settings.gossip_factor * size.next_power_of_two().ilog2()
@@ -458,10 +488,12 @@
         (longest - (longest - shortest) * fraction.min(1.0)) as Micros
     }
 
+    /// Sends a message with piggybacked gossip.
     fn send(&mut self, now: Micros, to: SocketAddr, kind: Kind) {
         self.send_with(now, to, kind, None);
     }
 
+    /// Adds the bytes accrued since the last refill to the send allowance, up to one second's worth.
     fn refill_allowance(&mut self, now: Micros) {
         let elapsed = now.saturating_sub(self.refilled_at) as f64 / 1e6;
         self.send_allowance = (self.send_allowance + elapsed * self.settings.bytes_per_second)
@@ -469,6 +501,7 @@
         self.refilled_at = self.refilled_at.max(now);
     }
 
+    /// Sends a message with piggybacked gossip and optionally one extra update, unless the byte allowance is used up.
     fn send_with(&mut self, now: Micros, to: SocketAddr, kind: Kind, extra: Option<Update>) {
         self.refill_allowance(now);
         if self.send_allowance <= 0.0 {
@@ -565,6 +598,7 @@
         }
     }
 
+    /// Completes the current probe, or forwards the acknowledgement of a relayed probe to its requester.
     fn handle_ack(&mut self, now: Micros, number: u32) {
         if let Some(probe) = self.probe.as_mut().filter(|probe| probe.sequence == number) {
             probe.acked = true;
--- a/fleet/tests/grants.rs
+++ b/fleet/tests/grants.rs
@@ -13,6 +13,7 @@
 const fn settings(term: u64) -> Settings {
     Settings { limit: 2, guaranteed: 0, max_instances: 3, vote_term: term, grant_duration: 2 }
 }
+/// Number of instances.
 const INSTANCES: usize = 3;
 
 /// Bounds on the events of a history.
@@ -38,23 +39,27 @@
 }
 
 #[derive(Clone, PartialEq, Eq, Hash)]
+/// State of all instances and the messages between them.
 struct World {
     now: u64,
     instances: Vec<Grants>,
+    /// When each instance last requested a grant.
     requested_at: [u64; INSTANCES],
     /// Messages in flight: sender, receiver, message. Sorted, because they may arrive in any order.
     in_flight: Vec<(usize, usize, GrantMessage)>,
     vote_requests: u8,
     grant_requests: u8,
     restarts: u8,
+    /// Number of the last run started by a restart.
     last_run: u64,
 }
 
-fn name(of: usize) -> Name {
-    ["a", "b", "c"][of].into()
+fn name(index: usize) -> Name {
+    ["a", "b", "c"][index].into()
 }
 
 impl World {
+    /// Puts a message in flight.
     fn send(&mut self, from: usize, to: usize, message: GrantMessage) {
         self.in_flight.push((from, to, message));
         self.in_flight.sort_unstable();
@@ -67,6 +72,7 @@
         instance.handle_message(self.now, &name(from), message).is_none() && instance == self.instances[to]
     }
 
+    /// Delivers a message and sends the answer.
     fn deliver(&mut self, from: usize, to: usize, mut message: GrantMessage, disabled: Disabled) {
         if let (Disabled::RequestTimeBase, GrantMessage::Grant(_, _, duration)) = (disabled, &mut message) {
             *duration += self.now - self.requested_at[to];
@@ -100,39 +106,39 @@
                 world.deliver(from, to, message, disabled);
             });
         }
-        for of in 0..INSTANCES {
+        for index in 0..INSTANCES {
             // Two candidates are enough for every conflict.
-            if self.vote_requests < depth.vote_requests && of < 2 {
-                then(format!("{of} requests votes"), &|world| {
+            if self.vote_requests < depth.vote_requests && index < 2 {
+                then(format!("{index} requests votes"), &|world| {
                     world.vote_requests += 1;
-                    let message = world.instances[of].request_votes(world.now);
-                    (0..INSTANCES).filter(|to| *to != of).for_each(|to| world.send(of, to, message));
+                    let message = world.instances[index].request_votes(world.now);
+                    (0..INSTANCES).filter(|to| *to != index).for_each(|to| world.send(index, to, message));
                 });
             }
             // Requests from one candidate and from the instance that is no candidate.
-            for to in (0..2).filter(|_| self.grant_requests < depth.grant_requests && of != 1) {
-                then(format!("{of} asks {to}"), &|world| {
+            for to in (0..2).filter(|_| self.grant_requests < depth.grant_requests && index != 1) {
+                then(format!("{index} asks {to}"), &|world| {
                     world.grant_requests += 1;
-                    world.requested_at[of] = world.now;
-                    let message = world.instances[of].request_grant(world.now, 2);
-                    if of == to {
-                        world.deliver(of, to, message, disabled)
+                    world.requested_at[index] = world.now;
+                    let message = world.instances[index].request_grant(world.now, 2);
+                    if index == to {
+                        world.deliver(index, to, message, disabled)
                     } else {
-                        world.send(of, to, message)
+                        world.send(index, to, message)
                     }
                 });
             }
             if self.restarts < depth.restarts {
-                then(format!("{of} restarts"), &|world| {
+                then(format!("{index} restarts"), &|world| {
                     world.restarts += 1;
                     world.last_run += 1;
                     let run_id = if disabled == Disabled::FreshRunId {
-                        1000 * of as u64
+                        1000 * index as u64
                     } else {
                         1000 * world.last_run
                     };
                     let started = if disabled == Disabled::VoterRestartDelay { 0 } else { world.now };
-                    world.instances[of] = Grants::new(started, name(of), run_id, settings(depth.term));
+                    world.instances[index] = Grants::new(started, name(index), run_id, settings(depth.term));
                 });
             }
         }
@@ -153,8 +159,9 @@
 
 /// Searches all histories. Returns the number of distinct states, or a history that exceeds the limit.
 fn search(depth: Depth, disabled: Disabled) -> Result<usize, Vec<String>> {
-    let all =
-        (0..INSTANCES).map(|of| Grants::new(0, name(of), 1000 * of as u64, settings(depth.term))).collect();
+    let all = (0..INSTANCES)
+        .map(|index| Grants::new(0, name(index), 1000 * index as u64, settings(depth.term)))
+        .collect();
     let first = World {
         now: depth.term,
         instances: all,
@@ -199,6 +206,7 @@
     Ok(seen.len())
 }
 
+/// Searches all histories within each depth and checks that the search visits more than the given number of states.
 fn assert_limit_holds(cases: &[(Depth, usize)]) {
     for (depth, min_states) in cases {
         let begun = std::time::Instant::now();
--- a/fleet/tests/swim.rs
+++ b/fleet/tests/swim.rs
@@ -32,10 +32,10 @@
     world.kill(17);
     let took = world.run_until(60 * SECOND, |w| w.count_in_state(&name(17), State::Dead) == SIZE - 1);
     println!("known by all after {} ms", took.expect("every instance learns it") / 1000);
-    assert!((0..SIZE).filter(|of| *of != 17).all(|of| world.swim(of).alive_count() == SIZE - 1));
+    assert!((0..SIZE).filter(|index| *index != 17).all(|index| world.swim(index).alive_count() == SIZE - 1));
     // The dead instance may be merely unreachable, so shares are not divided among fewer instances.
-    assert!((0..SIZE).filter(|of| *of != 17).all(|of| world.swim(of).sending_count() == SIZE));
-    // Restart under the same name, with an incarnation lower than that of the previous run.
+    assert!((0..SIZE).filter(|index| *index != 17).all(|index| world.swim(index).sending_count() == SIZE));
+    // Restart under the same name, with a lower incarnation, as after a clock was set back.
     world.start(17, name(17), 0);
     world.run_until(60 * SECOND, World::converged).expect("the restarted instance rejoins");
     // An instance that leaves is recorded as left, not as dead, by all others.
@@ -47,7 +47,7 @@
     world
         .run_until(20 * SECOND, |w| w.count_in_state(&name(5), State::Left) == SIZE - 1)
         .expect("every instance records the leave");
-    assert!((0..SIZE).filter(|of| *of != 5).all(|of| world.swim(of).sending_count() == SIZE - 1));
+    assert!((0..SIZE).filter(|index| *index != 5).all(|index| world.swim(index).sending_count() == SIZE - 1));
 }
 
 #[test]
@@ -71,11 +71,12 @@
 fn a_partitioned_fleet_keeps_running_and_merges_again() {
     let mut world = joined_fleet(SIZE);
     world.cut = Box::new(|from, to| (from < 13) != (to < 13));
-    let sides = |w: &World| (0..SIZE).all(|of| w.swim(of).alive_count() == if of < 13 { 13 } else { 27 });
+    let sides =
+        |w: &World| (0..SIZE).all(|index| w.swim(index).alive_count() == if index < 13 { 13 } else { 27 });
     let took = world.run_until(120 * SECOND, sides).expect("each side sees only itself");
     println!("partition detected after {} ms", took / 1000);
     // Neither side claims the other side's share of a cold node's traffic.
-    assert!((0..SIZE).all(|of| world.swim(of).sending_count() == SIZE));
+    assert!((0..SIZE).all(|index| world.swim(index).sending_count() == SIZE));
     world.advance_to(world.now + 60 * SECOND);
     world.cut = Box::new(|_, _| false);
     let took = world.run_until(120 * SECOND, World::converged).expect("the sides merge");
@@ -96,7 +97,7 @@
 #[test]
 fn simultaneous_death_of_a_third_is_detected_and_all_rejoin() {
     let mut world = joined_fleet(SIZE);
-    (0..SIZE).filter(|of| of % 3 == 0).for_each(|of| world.kill(of));
+    (0..SIZE).filter(|index| index % 3 == 0).for_each(|index| world.kill(index));
     let left = SIZE - SIZE.div_ceil(3);
     let known = |w: &World| {
         w.instances
@@ -108,7 +109,7 @@
     println!("a third known to be dead after {} ms", took / 1000);
     // All killed instances restart at once.
     let now = world.now;
-    (0..SIZE).filter(|of| of % 3 == 0).for_each(|of| world.start(of, name(of), 2));
+    (0..SIZE).filter(|index| index % 3 == 0).for_each(|index| world.start(index, name(index), 2));
     world.run_until(120 * SECOND, World::converged).expect("all restarted instances rejoin");
     println!("all rejoined after {} ms", (world.now - now) / 1000);
 }
@@ -119,18 +120,18 @@
 fn leaving_with_a_pending_probe_leaves_no_overdue_deadline() {
     let mut world = joined_fleet(10);
     // Leave at different points of a period, with some probes unanswered and some due for indirect probing.
-    for (of, part) in (0..10).zip(0..) {
-        world.cut = Box::new(move |_, to| to != of && part % 2 == 0);
+    for (index, part) in (0..10).zip(0..) {
+        world.cut = Box::new(move |_, to| to != index && part % 2 == 0);
         world.advance_to(world.now + SECOND + part * SECOND / 10);
         let now = world.now;
-        let Some(swim) = &mut world.instances[of].swim else { unreachable!() };
+        let Some(swim) = &mut world.instances[index].swim else { unreachable!() };
         swim.leave(now);
         for after in 1..=20 {
             let at = now + after * SECOND / 10;
             swim.on_timer(at);
-            assert!(swim.next_deadline() > at, "{of} is due at {} after {at}", swim.next_deadline());
+            assert!(swim.next_deadline() > at, "{index} is due at {} after {at}", swim.next_deadline());
         }
-        world.kill(of);
+        world.kill(index);
     }
 }
 
@@ -162,8 +163,8 @@
         swim.record_fact(world.now, fact);
     }
     world.process_outputs(3);
-    let knows = |w: &World, of| w.swim(of).facts().is_draining(&"p".into(), &"x".into(), 8);
-    let all = world.run_until(60 * SECOND, |w| (0..SIZE).all(|of| knows(w, of)));
+    let knows = |w: &World, index| w.swim(index).facts().is_draining(&"p".into(), &"x".into(), 8);
+    let all = world.run_until(60 * SECOND, |w| (0..SIZE).all(|index| knows(w, index)));
     let all = all.expect("every instance learns it");
     println!("a drain known by all after {} ms", all / 1000);
     assert!(all < 2 * SECOND, "{all}: later than two seconds");
--- a/fleet/tests/world/mod.rs
+++ b/fleet/tests/world/mod.rs
@@ -13,6 +13,7 @@
 /// Estimated overhead of a message on the wire, in bytes.
 const PACKET_OVERHEAD_BYTES: u64 = 80;
 
+/// A future event of the simulation.
 enum Event {
     /// The timer of an instance, in its nth run, is due.
     Timer(usize, u32),
@@ -20,24 +21,35 @@
     Delivery(usize, SocketAddr, Box<Message>),
 }
 
+/// A simulated instance.
 pub struct Instance {
+    /// The membership state; `None` while the instance is dead.
     pub swim: Option<Swim>,
     /// Number of starts so far. Timers of earlier runs are ignored.
     run: u32,
+    /// When the earliest scheduled timer is due.
     timer_at: u64,
+    /// Bytes sent so far.
     pub sent_bytes: u64,
     /// Most bytes sent in any one second.
     pub peak_bytes: u64,
+    /// The second of the last send, and the bytes sent in it.
     current_second: (u64, u64),
 }
 
+/// The simulated network and all its instances.
 pub struct World {
+    /// Simulated time, in microseconds.
     pub now: u64,
     pub instances: Vec<Instance>,
+    /// Times and IDs of future events, earliest first.
     events: BinaryHeap<Reverse<(u64, u64)>>,
+    /// Future events by ID.
     pending: BTreeMap<u64, Event>,
+    /// ID of the next event.
     next_event: u64,
     pub rng: fastrand::Rng,
+    /// Probability that a message is lost.
     pub loss: f64,
     /// Returns whether the network drops all messages from the first instance to the second.
     pub cut: Box<dyn Fn(usize, usize) -> bool>,
@@ -46,14 +58,17 @@
     settings: Settings,
 }
 
-pub fn name(of: usize) -> Name {
-    format!("n{of:04}").into()
+/// Returns the name of the instance with this index.
+pub fn name(index: usize) -> Name {
+    format!("n{index:04}").into()
 }
 
-pub fn address(of: usize) -> SocketAddr {
-    SocketAddr::from(([10, 0, (of >> 8) as u8, of as u8], 7946))
+/// Returns the address of the instance with this index.
+pub fn address(index: usize) -> SocketAddr {
+    SocketAddr::from(([10, 0, (index >> 8) as u8, index as u8], 7946))
 }
 
+/// Returns the index of the instance with this address.
 fn index_of(address: SocketAddr) -> usize {
     let SocketAddr::V4(v4) = address else { unreachable!() };
     let [_, _, high, low] = v4.ip().octets();
@@ -75,7 +90,7 @@
             changes: Vec::new(),
             settings,
         };
-        for of in 0..size {
+        for index in 0..size {
             world.instances.push(Instance {
                 swim: None,
                 run: 0,
@@ -84,26 +99,29 @@
                 peak_bytes: 0,
                 current_second: (0, 0),
             });
-            world.start(of, name(of), 1);
+            world.start(index, name(index), 1);
         }
         world
     }
 
-    pub fn start(&mut self, of: usize, name: Name, incarnation: u64) {
+    /// Starts the instance with this index under a name.
+    pub fn start(&mut self, index: usize, name: Name, incarnation: u64) {
         let seeds = (0..3).map(address).collect();
         let seed = self.rng.u64(..);
-        let identity = (name, address(of), ["z0", "z1", "z2"][of % 3].into());
-        self.instances[of].run += 1;
-        self.instances[of].timer_at = u64::MAX;
-        self.instances[of].swim =
+        let identity = (name, address(index), ["z0", "z1", "z2"][index % 3].into());
+        self.instances[index].run += 1;
+        self.instances[index].timer_at = u64::MAX;
+        self.instances[index].swim =
             Some(Swim::new(self.now, identity, incarnation, seeds, self.settings, seed));
-        self.process_outputs(of);
+        self.process_outputs(index);
     }
 
-    pub fn kill(&mut self, of: usize) {
-        self.instances[of].swim = None;
+    /// Kills an instance without a leave message.
+    pub fn kill(&mut self, index: usize) {
+        self.instances[index].swim = None;
     }
 
+    /// Schedules an event.
     fn schedule(&mut self, at: u64, event: Event) {
         self.events.push(Reverse((at, self.next_event)));
         self.pending.insert(self.next_event, event);
@@ -111,14 +129,14 @@
     }
 
     /// Carries out the pending outputs of an instance and schedules its next timer.
-    pub fn process_outputs(&mut self, of: usize) {
-        while let Some(output) = self.instances[of].swim.as_mut().and_then(Swim::next_output) {
+    pub fn process_outputs(&mut self, index: usize) {
+        while let Some(output) = self.instances[index].swim.as_mut().and_then(Swim::next_output) {
             match output {
-                Output::Changed(change) => self.changes.push((self.now, of, change)),
+                Output::Changed(change) => self.changes.push((self.now, index, change)),
                 Output::Send(to, message) => {
                     let (bytes, second) =
                         (encoded_size(&message) as u64 + PACKET_OVERHEAD_BYTES, self.now / SECOND);
-                    let instance = &mut self.instances[of];
+                    let instance = &mut self.instances[index];
                     instance.sent_bytes += bytes;
                     instance.current_second = if instance.current_second.0 == second {
                         (second, instance.current_second.1 + bytes)
@@ -126,22 +144,22 @@
                         (second, bytes)
                     };
                     instance.peak_bytes = instance.peak_bytes.max(instance.current_second.1);
-                    let lost = self.rng.f64() < self.loss || (self.cut)(of, index_of(to));
+                    let lost = self.rng.f64() < self.loss || (self.cut)(index, index_of(to));
                     if !lost && index_of(to) < self.instances.len() {
                         let delay = self.rng.u64(500..5_000);
-                        let delivery = Event::Delivery(index_of(to), address(of), Box::new(message));
+                        let delivery = Event::Delivery(index_of(to), address(index), Box::new(message));
                         self.schedule(self.now + delay, delivery);
                     }
                 }
             }
         }
-        let instance = &self.instances[of];
+        let instance = &self.instances[index];
         let Some(due) = instance.swim.as_ref().map(Swim::next_deadline) else { return };
         let due = due.max(self.now);
         if due < instance.timer_at {
             let run = instance.run;
-            self.instances[of].timer_at = due;
-            self.schedule(due, Event::Timer(of, run));
+            self.instances[index].timer_at = due;
+            self.schedule(due, Event::Timer(index, run));
         }
     }
 
@@ -153,35 +171,38 @@
             self.events.pop();
             self.now = at;
             let Some(event) = self.pending.remove(&number) else { continue };
-            let of = match event {
-                Event::Timer(of, run) if self.instances[of].run != run => continue,
-                Event::Timer(of, _) => {
-                    self.instances[of].timer_at = u64::MAX;
-                    if let Some(swim) = &mut self.instances[of].swim {
+            let index = match event {
+                Event::Timer(index, run) if self.instances[index].run != run => continue,
+                Event::Timer(index, _) => {
+                    self.instances[index].timer_at = u64::MAX;
+                    if let Some(swim) = &mut self.instances[index].swim {
                         swim.on_timer(at);
                     }
-                    of
+                    index
                 }
-                Event::Delivery(of, from, message) => {
-                    if let Some(swim) = &mut self.instances[of].swim {
+                Event::Delivery(index, from, message) => {
+                    if let Some(swim) = &mut self.instances[index].swim {
                         swim.handle_message(at, from, *message);
                     }
-                    of
+                    index
                 }
             };
-            self.process_outputs(of);
+            self.process_outputs(index);
         }
         self.now = end;
     }
 
-    pub fn swim(&self, of: usize) -> &Swim {
-        self.instances[of].swim.as_ref().expect("instance is running")
+    /// Returns the membership state of a running instance.
+    pub fn swim(&self, index: usize) -> &Swim {
+        self.instances[index].swim.as_ref().expect("instance is running")
     }
 
     /// Returns the number of running instances that have the named member in `state`.
-    pub fn count_in_state(&self, of: &Name, state: State) -> usize {
+    pub fn count_in_state(&self, target: &Name, state: State) -> usize {
         let running = self.instances.iter().filter_map(|instance| instance.swim.as_ref());
-        running.filter(|swim| swim.members().any(|m| m.update.name == *of && m.update.state == state)).count()
+        running
+            .filter(|swim| swim.members().any(|m| m.update.name == *target && m.update.state == state))
+            .count()
     }
 
     /// Returns whether all running instances see exactly the running instances as alive.
