--- a/sloeline/src/daemon/fleet.rs
+++ b/sloeline/src/daemon/fleet.rs
@@ -252,7 +252,10 @@
         let own = config.instance.position();
         let part = self.part.borrow();
         let Some(fleet) = part.as_ref().map(|part| &part.fleet) else { return own };
-        InstancePosition { count: own.count.max(fleet.instance_counts().1 as u32), number: fleet.rank() as u32 }
+        InstancePosition {
+            count: own.count.max(fleet.instance_counts().1 as u32),
+            number: fleet.rank() as u32,
+        }
     }
 
     /// Nodes that are kept out by the word of other instances, by pool.
