--- a/config/src/model.rs
+++ b/config/src/model.rs
@@ -9,7 +9,7 @@
 
 use crate::problem::Span;
 
-/// KnownNames that `assert` accepts on a route or class, each with the statement that the operator confirms by it. The
+/// Names that `assert` accepts on a route or class, each with the statement that the operator confirms by it. The
 /// matching error is then not reported.
 pub const ASSERTIONS: [(&str, &str); 5] = [
     ("write-method-is-safe", "on a route: a method other than GET, HEAD and OPTIONS changes nothing"),
@@ -196,7 +196,7 @@
 pub struct ClassConfig {
     /// The class as the balancing engine uses it.
     pub class: Class,
-    /// KnownNames from [`ASSERTIONS`] that the class asserts.
+    /// Names from [`ASSERTIONS`] that the class asserts.
     pub assertions: Vec<String>,
     /// Where the section stands in the text.
     pub span: Span,
@@ -434,13 +434,13 @@
 pub struct RouteConfig {
     /// Name and match conditions of the route.
     pub route: Route,
-    /// KnownNames of the listeners that the route applies to.
+    /// Names of the listeners that the route applies to.
     pub listeners: Vec<String>,
     /// Pools with their weights; a single pool has weight 100.
     pub split: Vec<(String, u32)>,
     /// Value that assigns a caller to the same pool of the split each time. `None` if none is configured.
     pub sticky: Option<ValueSource>,
-    /// KnownNames of the route's classes; more than one only if `class_header` selects among them.
+    /// Names of the route's classes; more than one only if `class_header` selects among them.
     pub classes: Vec<String>,
     /// Request header that names the class of a request.
     pub class_header: Option<String>,
@@ -452,7 +452,7 @@
     pub deadline: Option<Micros>,
     /// Maximum size of a request body, in bytes.
     pub body_limit: usize,
-    /// KnownNames from [`ASSERTIONS`] that the route asserts.
+    /// Names from [`ASSERTIONS`] that the route asserts.
     pub assertions: Vec<String>,
     /// Operation that the route was generated for. `None` for a route written in the configuration.
     pub operation: Option<RouteOperation>,
@@ -481,7 +481,7 @@
     pub file: String,
     /// Hosts that the description applies to.
     pub hosts: Vec<HostPattern>,
-    /// KnownNames of the listeners that the description applies to.
+    /// Names of the listeners that the description applies to.
     pub listeners: Vec<String>,
     /// Pools with their weights.
     pub split: Vec<(String, u32)>,
