--- a/src/api.rs
+++ b/src/api.rs
@@ -30,7 +30,7 @@
     Keyed {
         /// The servers that recognize each other's repeats.
         group: DedupGroup,
-        /// How long these servers remember a request.
+        /// How long the servers of the group remember a request.
         window: Micros,
     },
     /// Not idempotent: must never run twice.
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -20,7 +20,7 @@
 const MIN_P50_SAMPLES: f64 = 6.0;
 /// Number of samples that do not fade: at one request per second none would remain.
 const MIN_KEPT_SAMPLES: f64 = 20.0;
-/// Minimum number of samples for P99; with fewer, only the remaining time limits an attempt.
+/// Minimum number of samples for P99: fewer cannot show one in 100. Until then the time left limits attempts.
 const MIN_P99_SAMPLES: f64 = 100.0;
 /// Factor that widens P99 for each timeout above the 1% that P99 allows.
 const WIDENING_STEP: f64 = 1.15;
@@ -58,15 +58,16 @@
 const SHIFT_WINDOW_DEPTHS: f64 = 4.0;
 /// A rise in latency counts as a shift only while no window exceeds this multiple of its fair size.
 const MAX_SHIFT_WINDOW_RATIO: f64 = 2.0;
-/// An answer within this share of the latency target grows a full window more. Also the initial estimate.
+/// An uncongested answer within this share of the latency target grows a full window. Until a latency is
+/// known, calls are assumed to take this share.
 const FAST_SHARE: f64 = 0.1;
 /// Base change of the window per answer.
 const WINDOW_GAIN: f64 = 0.5;
 /// Initial window, in attempts per server of the balancer's part of the fleet.
 const INITIAL_WINDOW: f64 = 4.0;
-/// Extra window for each tier below, as a share of the initial window: calls stay open while it works.
+/// Extra window for each tier below, as a share of the window: calls stay open while lower tiers work.
 const TIER_ALLOWANCE: f64 = 0.75;
-/// Extra window for each tier below while a window is new, as a share of it: before answers show queueing.
+/// Extra window for each tier below while a window is new: a smaller share, as answers show no queueing yet.
 const FIRST_ALLOWANCE: f64 = 0.25;
 /// Maximum factor by which a window's growth is raised below its fair size, and lowered above it.
 const MAX_WINDOW_BIAS: f64 = 3.0;
