--- a/wirehost/src/main.rs
+++ b/wirehost/src/main.rs
@@ -1,4 +1,5 @@
-//! Joins finchshift to the lbsim bench: reads its wire on standard input and answers on standard output.
+//! Connects finchshift to the lbsim simulator: reads its messages from standard input and writes replies to standard
+//! output.
 
 mod host;
 mod wire;
@@ -9,14 +10,14 @@
 fn main() -> ExitCode {
     match run(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("finchshift-wirehost: {why}");
+        Err(error) => {
+            eprintln!("finchshift-wirehost: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// Answers batch after batch until the input ends; an error names the line it is about.
+/// Answers batches until the input ends. An error names the input line that caused it.
 fn run(input: impl io::Read, output: impl Write) -> Result<(), String> {
     let mut input = BufReader::with_capacity(1 << 20, input);
     let mut output = BufWriter::with_capacity(1 << 20, output);
@@ -39,7 +40,7 @@
             continue;
         }
         let message = serde_json::from_slice(&line).map_err(|e| format!("line {number}: {e}"))?;
-        let done = host.take(message, &mut reply).map_err(|e| format!("line {number}: {e}"))?;
+        let done = host.handle_message(message, &mut reply).map_err(|e| format!("line {number}: {e}"))?;
         if done {
             output
                 .write_all(&reply)
